--- a/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/platform/HttpBackendClient.java
+++ b/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/platform/HttpBackendClient.java
@@ -147,16 +147,16 @@
 
 	private AttemptResult judge(ServerConnections pooled, ServerConnections.Generation generation, Instant begun,
 			SentMark sent, AttemptResult ended) {
-		if (ended instanceof AttemptResult.Broken broken && broken.timedOut()) {
+		if (ended instanceof AttemptResult.Incomplete broken && broken.timedOut()) {
 			boolean silent = sent.isOverOpenConnection() && pooled.areSilent(generation, begun);
 			if (silent) {
 				// Once for all connections that were open then.
 				this.suspicions.compareAndSet(generation.suspicions(), generation.suspicions() + 1);
 			}
 			pooled.giveUp(generation, this.suspicions.get());
-			return silent ? new AttemptResult.Silent(broken.detail()) : broken;
+			return silent ? new AttemptResult.StaleConnection(broken.detail()) : broken;
 		}
-		if (ended instanceof AttemptResult.Whole || ended instanceof AttemptResult.Refused) {
+		if (ended instanceof AttemptResult.Answered || ended instanceof AttemptResult.Refused) {
 			pooled.answered(generation);
 		}
 		else {
@@ -205,14 +205,14 @@
 	}
 
 	private static AttemptResult broken(IOException ex) {
-		return new AttemptResult.Broken(ex instanceof InterruptedIOException, String.valueOf(ex.getMessage()));
+		return new AttemptResult.Incomplete(ex instanceof InterruptedIOException, String.valueOf(ex.getMessage()));
 	}
 
 	private static AttemptResult read(ForwardedRequest request, Response response) {
 		try (response) {
 			String answeredId = response.header(REQUEST_ID);
 			if (answeredId != null && !answeredId.equals(request.id())) {
-				return new AttemptResult.Broken(false, "the answer belongs to another request");
+				return new AttemptResult.Incomplete(false, "the answer belongs to another request");
 			}
 			String notStarted = response.header(NOT_STARTED);
 			if (notStarted != null) {
@@ -228,15 +228,15 @@
 	private static AttemptResult whole(Response response) throws IOException {
 		boolean chunked = "chunked".equalsIgnoreCase(response.header("Transfer-Encoding"));
 		if (response.body().contentLength() < 0 && !chunked && HttpHeaders.promisesBody(response)) {
-			return new AttemptResult.Broken(false, "the answer does not say where it ends");
+			return new AttemptResult.Incomplete(false, "the answer does not say where it ends");
 		}
 		if (response.body().source().request(MAXIMUM_ANSWER_BYTES + 1L)) {
-			return new AttemptResult.Broken(false, "the answer is larger than " + MAXIMUM_ANSWER_BYTES + " bytes");
+			return new AttemptResult.Incomplete(false, "the answer is larger than " + MAXIMUM_ANSWER_BYTES + " bytes");
 		}
 		byte[] body = response.body().bytes();
 		List<HeaderLine> headers = new ArrayList<>();
 		response.headers().forEach((pair) -> headers.add(returned(pair.getFirst(), pair.getSecond())));
-		return new AttemptResult.Whole(response.code(), headers, body);
+		return new AttemptResult.Answered(response.code(), headers, body);
 	}
 
 	private static HeaderLine returned(String name, String value) {
--- a/monsoonrelay-adapters/src/test/java/org/monsoonrelay/adapters/platform/HttpBackendClientTests.java
+++ b/monsoonrelay-adapters/src/test/java/org/monsoonrelay/adapters/platform/HttpBackendClientTests.java
@@ -60,8 +60,8 @@
 	}
 
 	private static String text(AttemptResult result) {
-		assertThat(result).isInstanceOf(AttemptResult.Whole.class);
-		return new String(((AttemptResult.Whole) result).body(), StandardCharsets.UTF_8);
+		assertThat(result).isInstanceOf(AttemptResult.Answered.class);
+		return new String(((AttemptResult.Answered) result).body(), StandardCharsets.UTF_8);
 	}
 
 	private static ForwardedRequest request(String name, List<HeaderLine> headers) {
@@ -77,7 +77,7 @@
 		void areWholeWithStatusHeadersAndBody() throws IOException {
 			try (RawServer server = answering("HTTP/1.1 409 Conflict\r\nSet-Cookie: a=1\r\nSet-Cookie: b=2\r\n"
 					+ "Content-Length: 4\r\n\r\nfull")) {
-				AttemptResult.Whole whole = (AttemptResult.Whole) send(server, "one");
+				AttemptResult.Answered whole = (AttemptResult.Answered) send(server, "one");
 
 				assertThat(whole.status()).isEqualTo(409);
 				assertThat(whole.headers()).contains(new HeaderLine("Set-Cookie", "a=1"),
@@ -109,7 +109,7 @@
 
 		private void assertBroken(String answer) throws IOException {
 			try (RawServer server = answering(answer)) {
-				assertThat(send(server, "one")).isInstanceOf(AttemptResult.Broken.class);
+				assertThat(send(server, "one")).isInstanceOf(AttemptResult.Incomplete.class);
 			}
 		}
 
@@ -140,7 +140,7 @@
 				connection.read();
 				connection.close();
 			})) {
-				assertThat(send(server, "one")).isInstanceOf(AttemptResult.Broken.class);
+				assertThat(send(server, "one")).isInstanceOf(AttemptResult.Incomplete.class);
 				assertThat(server.requests()).hasSize(1);
 			}
 		}
@@ -154,7 +154,7 @@
 				connection.close();
 			})) {
 				assertThat(text(send(server, "one"))).isEqualTo("first");
-				assertThat(send(server, "two")).isInstanceOf(AttemptResult.Broken.class);
+				assertThat(send(server, "two")).isInstanceOf(AttemptResult.Incomplete.class);
 				assertThat(server.requests()).hasSize(2);
 			}
 		}
@@ -163,7 +163,7 @@
 		void areOnTheWireOnceWhenTheServerAsksToComeBackAtOnce() throws IOException {
 			try (RawServer server = answering(
 					"HTTP/1.1 503 Unavailable\r\nRetry-After: 0\r\nContent-Length: 4\r\n\r\nbusy")) {
-				AttemptResult.Whole whole = (AttemptResult.Whole) send(server, "one");
+				AttemptResult.Answered whole = (AttemptResult.Answered) send(server, "one");
 
 				assertThat(whole.headers()).contains(new HeaderLine("Retry-After", "0"));
 				assertThat(server.requests()).hasSize(1);
@@ -177,7 +177,7 @@
 						List.of(new HeaderLine("Guest", "João"), new HeaderLine("Content-Type", "not a type"),
 								new HeaderLine("Via", "a"), new HeaderLine("Via", "b")));
 
-				assertThat(send(server, request, LONG)).isInstanceOf(AttemptResult.Whole.class);
+				assertThat(send(server, request, LONG)).isInstanceOf(AttemptResult.Answered.class);
 				assertThat(server.requests().get(0)).startsWith("POST /confirm?day=1 HTTP/1.1")
 					.contains("Guest: João\n", "Content-Type: not a type\n", "Via: a\nVia: b\n")
 					.endsWith("body of one");
@@ -202,7 +202,7 @@
 				AttemptResult first = send(server, request("one", List.of()), SHORT);
 				givenUp.complete(null);
 
-				assertThat(first).isEqualTo(new AttemptResult.Broken(true, "timeout"));
+				assertThat(first).isEqualTo(new AttemptResult.Incomplete(true, "timeout"));
 				assertThat(text(send(server, "two"))).isEqualTo("body of two");
 			}
 		}
@@ -211,7 +211,7 @@
 		void areNotTakenFromWhatWasReadWithAnEarlierAnswer() throws IOException {
 			try (RawServer server = answering(RawServer.answer("first") + RawServer.answer("stray"))) {
 				assertThat(text(send(server, "one"))).isEqualTo("first");
-				assertThat(send(server, "two")).isInstanceOf(AttemptResult.Broken.class);
+				assertThat(send(server, "two")).isInstanceOf(AttemptResult.Incomplete.class);
 				assertThat(text(send(server, "three"))).isEqualTo("first");
 			}
 		}
@@ -241,7 +241,7 @@
 		void areKnownByTheIdentityThatTheServerEchoes() throws IOException {
 			try (RawServer server = answering(
 					"HTTP/1.1 200 OK\r\nMonsoonrelay-Request-Id: other\r\nContent-Length: 2\r\n\r\nok")) {
-				assertThat(send(server, "one")).isInstanceOf(AttemptResult.Broken.class);
+				assertThat(send(server, "one")).isInstanceOf(AttemptResult.Incomplete.class);
 			}
 		}
 
@@ -256,7 +256,7 @@
 				openTwo(server);
 
 				assertThat(send(server, request("three", List.of()), SHORT))
-					.isEqualTo(new AttemptResult.Silent("timeout"));
+					.isEqualTo(new AttemptResult.StaleConnection("timeout"));
 				assertThat(text(send(server, request("four", List.of()), LONG))).isEqualTo("ok");
 				assertThat(server.connections()).isEqualTo(3);
 			}
@@ -268,7 +268,8 @@
 				openTwo(server);
 				openTwo(other);
 
-				assertThat(send(server, request("three", List.of()), SHORT)).isInstanceOf(AttemptResult.Silent.class);
+				assertThat(send(server, request("three", List.of()), SHORT))
+					.isInstanceOf(AttemptResult.StaleConnection.class);
 				assertThat(text(send(other, request("four", List.of()), LONG))).isEqualTo("ok");
 			}
 		}
@@ -291,7 +292,7 @@
 					assertThat(text(send(server, "four"))).isEqualTo("ok");
 				}
 
-				assertThat(stalled.join()).isEqualTo(new AttemptResult.Broken(true, "timeout"));
+				assertThat(stalled.join()).isEqualTo(new AttemptResult.Incomplete(true, "timeout"));
 				closed.complete(null);
 			}
 		}
--- a/monsoonrelay-benchmarks/src/main/java/org/monsoonrelay/benchmarks/capacity/KeyedRequestSlopes.java
+++ b/monsoonrelay-benchmarks/src/main/java/org/monsoonrelay/benchmarks/capacity/KeyedRequestSlopes.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.function.ToDoubleFunction;
 
-import org.monsoonrelay.logic.idempotency.IdempotentRequests;
+import org.monsoonrelay.logic.idempotency.IdempotentRequestRouter;
 import org.monsoonrelay.logic.routing.ForwardedRequest;
 import org.monsoonrelay.model.request.RequestOutcome;
 import org.monsoonrelay.model.request.TrafficClass;
@@ -56,7 +56,7 @@
 		return Meter.over(REQUESTS, (count) -> {
 			CountingPlatform platform = new CountingPlatform();
 			RequestOutcome answer = new RequestOutcome.Answered(200, List.of(), new byte[BODY_BYTES]);
-			IdempotentRequests requests = new IdempotentRequests(platform,
+			IdempotentRequestRouter requests = new IdempotentRequestRouter(platform,
 					(request) -> CompletableFuture.completedFuture(answer), InstantSource.system(),
 					Duration.ofSeconds(1));
 			for (int index = 0; index < count; index++) {
--- a/monsoonrelay-benchmarks/src/main/java/org/monsoonrelay/benchmarks/capacity/SampleScheduler.java
+++ b/monsoonrelay-benchmarks/src/main/java/org/monsoonrelay/benchmarks/capacity/SampleScheduler.java
@@ -60,10 +60,10 @@
 		this.queues = new QueueManager(new OwnRacks(), this.directory, (onConflict) -> new JobJournal(this.platform,
 				this.executor, () -> "write-" + ++this.writeIds, onConflict), this.executor, clock);
 		for (int rack = 0; rack * SampleCell.WORKERS_A_RACK < workerCount; rack++) {
-			this.racks.own(SampleCell.rack(rack), EPOCH);
+			this.racks.acquireOwnership(SampleCell.rack(rack), EPOCH);
 		}
 		this.racks.update(SampleCell.workers(workerCount));
-		this.racks.heartbeat();
+		this.racks.sendHeartbeats();
 		settle();
 		this.queues.update(inForce);
 		this.queues.own(SampleCell.team(0), EPOCH);
@@ -93,9 +93,9 @@
 	void tick() {
 		this.queues.tick();
 		settle();
-		this.racks.sendOrders();
+		this.racks.sendUrgentCommands();
 		settle();
-		this.racks.events()
+		this.racks.unacknowledgedEvents()
 			.forEach((team, events) -> new ArrayList<>(events)
 				.forEach((event) -> this.queues.take(event, team, this.racks::acknowledge)));
 		settle();
@@ -105,7 +105,7 @@
 	 * Send a heartbeat to every worker and take in the answers.
 	 */
 	void heartbeat() {
-		this.racks.heartbeat();
+		this.racks.sendHeartbeats();
 		settle();
 		publish();
 	}
--- a/monsoonrelay-benchmarks/src/main/java/org/monsoonrelay/benchmarks/routing/ChoiceTrial.java
+++ b/monsoonrelay-benchmarks/src/main/java/org/monsoonrelay/benchmarks/routing/ChoiceTrial.java
@@ -4,8 +4,8 @@
 import java.util.function.Function;
 
 import org.apache.commons.rng.UniformRandomProvider;
-import org.monsoonrelay.logic.routing.RefusalPause;
-import org.monsoonrelay.logic.routing.ServerChoice;
+import org.monsoonrelay.logic.routing.RefusalBackoff;
+import org.monsoonrelay.logic.routing.ServerSelector;
 
 /**
  * One way to choose a server, under its name. Immutable.
@@ -14,7 +14,7 @@
  * @param pause what gateways do after a refusal
  * @param choices makes the choice of each gateway
  */
-record ChoiceTrial(String name, RefusalPause pause, Function<UniformRandomProvider, ServerChoice> choices) {
+record ChoiceTrial(String name, RefusalBackoff pause, Function<UniformRandomProvider, ServerSelector> choices) {
 
 	ModelResult run(ModelCell cell, ModelTraffic traffic) {
 		return new RoutingModel(cell, this.pause, this.choices).run(List.of(traffic)).get(traffic.trafficClass());
--- a/monsoonrelay-benchmarks/src/main/java/org/monsoonrelay/benchmarks/routing/RoutingBenchmark.java
+++ b/monsoonrelay-benchmarks/src/main/java/org/monsoonrelay/benchmarks/routing/RoutingBenchmark.java
@@ -4,8 +4,8 @@
 import java.util.List;
 import java.util.Locale;
 
-import org.monsoonrelay.logic.routing.LeastExpectedLoadChoice;
-import org.monsoonrelay.logic.routing.RefusalPause;
+import org.monsoonrelay.logic.routing.LeastExpectedLoadSelector;
+import org.monsoonrelay.logic.routing.RefusalBackoff;
 
 /**
  * Compares ways to choose a backend server with one central queue, in a seeded model of
@@ -14,15 +14,15 @@
  */
 public final class RoutingBenchmark {
 
-	private static final RefusalPause FIXED = fixed(5);
+	private static final RefusalBackoff FIXED = fixed(5);
 
-	private static final RefusalPause NONE = fixed(0);
+	private static final RefusalBackoff NONE = fixed(0);
 
-	private static final ChoiceTrial SHIPPED = new ChoiceTrial("least expected load", RefusalPause.DEFAULT,
-			LeastExpectedLoadChoice::new);
+	private static final ChoiceTrial SHIPPED = new ChoiceTrial("least expected load", RefusalBackoff.DEFAULT,
+			LeastExpectedLoadSelector::new);
 
 	private static final List<ChoiceTrial> OTHERS = List.of(
-			new ChoiceTrial("least expected, pause 2 ms", fixed(2), LeastExpectedLoadChoice::new),
+			new ChoiceTrial("least expected, pause 2 ms", fixed(2), LeastExpectedLoadSelector::new),
 			new ChoiceTrial("least in flight, pause 5 ms", FIXED, LeastInFlightChoice::new),
 			new ChoiceTrial("least in flight, no pause", NONE, LeastInFlightChoice::new),
 			new ChoiceTrial("two random choices", NONE, TwoRandomChoice::new),
@@ -60,8 +60,8 @@
 		System.exit(checkBounds() ? 0 : 1);
 	}
 
-	private static RefusalPause fixed(int millis) {
-		return new RefusalPause(Duration.ofMillis(millis), Duration.ofMillis(millis), 1, 1);
+	private static RefusalBackoff fixed(int millis) {
+		return new RefusalBackoff(Duration.ofMillis(millis), Duration.ofMillis(millis), 1, 1);
 	}
 
 	private static void printAll() {
--- a/monsoonrelay-benchmarks/src/main/java/org/monsoonrelay/benchmarks/routing/RoutingModel.java
+++ b/monsoonrelay-benchmarks/src/main/java/org/monsoonrelay/benchmarks/routing/RoutingModel.java
@@ -15,9 +15,9 @@
 import org.monsoonrelay.logic.routing.AttemptResult;
 import org.monsoonrelay.logic.routing.BackendPool;
 import org.monsoonrelay.logic.routing.ForwardedRequest;
-import org.monsoonrelay.logic.routing.RefusalPause;
+import org.monsoonrelay.logic.routing.RefusalBackoff;
 import org.monsoonrelay.logic.routing.RetryBudget;
-import org.monsoonrelay.logic.routing.ServerChoice;
+import org.monsoonrelay.logic.routing.ServerSelector;
 import org.monsoonrelay.logic.routing.ServiceRouter;
 import org.monsoonrelay.model.capacity.Resources;
 import org.monsoonrelay.model.host.Host;
@@ -66,14 +66,14 @@
 	 * @param pause what gateways do after a refusal
 	 * @param choices makes the choice of each gateway
 	 */
-	RoutingModel(ModelCell cell, RefusalPause pause, Function<UniformRandomProvider, ServerChoice> choices) {
+	RoutingModel(ModelCell cell, RefusalBackoff pause, Function<UniformRandomProvider, ServerSelector> choices) {
 		this.cell = cell;
 		this.arrivals = RandomSource.XO_RO_SHI_RO_128_PP.create(cell.seed());
 		this.services = RandomSource.XO_RO_SHI_RO_128_PP.create(cell.seed() + 1);
 		List<Host> hosts = hosts();
 		hosts.forEach((host) -> this.executors.put(host.address(), new ModelExecutor(cell.slots())));
 		for (int index = 0; index < cell.gateways(); index++) {
-			ServerChoice choice = choices.apply(RandomSource.XO_RO_SHI_RO_128_PP.create(cell.seed() + 2 + index));
+			ServerSelector choice = choices.apply(RandomSource.XO_RO_SHI_RO_128_PP.create(cell.seed() + 2 + index));
 			BackendPool pool = new BackendPool(cell.slots(), failureDomain(index), this.clock, choice, pause);
 			pool.update(hosts);
 			this.routers.add(new ServiceRouter(pool, this::send, new RetryBudget(0.1, 20), this.clock, MAXIMUM_WAITING,
@@ -111,7 +111,7 @@
 	}
 
 	private void tick() {
-		this.routers.forEach(ServiceRouter::expire);
+		this.routers.forEach(ServiceRouter::refuseExpired);
 		this.clock.after(TIMER_NANOS, this::tick);
 	}
 
@@ -171,7 +171,7 @@
 		request.result().started(this.clock.nanos() - oneWay - request.arrivedAt());
 		this.clock.after(request.serviceNanos(), () -> {
 			executor.end();
-			AttemptResult whole = new AttemptResult.Whole(200, List.of(), new byte[0]);
+			AttemptResult whole = new AttemptResult.Answered(200, List.of(), new byte[0]);
 			this.clock.after(oneWay, () -> answer.complete(whole));
 		});
 	}
--- a/monsoonrelay-benchmarks/src/main/java/org/monsoonrelay/benchmarks/routing/SubsetChoice.java
+++ b/monsoonrelay-benchmarks/src/main/java/org/monsoonrelay/benchmarks/routing/SubsetChoice.java
@@ -7,13 +7,13 @@
 import java.util.Set;
 
 import org.apache.commons.rng.UniformRandomProvider;
-import org.monsoonrelay.logic.routing.ServerChoice;
 import org.monsoonrelay.logic.routing.ServerLoad;
+import org.monsoonrelay.logic.routing.ServerSelector;
 
 /**
  * Baseline: a random subset of the servers in turn. Not thread-safe.
  */
-final class SubsetChoice implements ServerChoice {
+final class SubsetChoice implements ServerSelector {
 
 	private final int size;
 
@@ -29,7 +29,7 @@
 	}
 
 	@Override
-	public <S extends ServerLoad> Optional<S> choose(List<S> able, Instant now) {
+	public <S extends ServerLoad> Optional<S> select(List<S> able, Instant now) {
 		while (this.subset.size() < Math.min(this.size, able.size())) {
 			this.subset.add(able.get(this.random.nextInt(able.size())));
 		}
--- a/monsoonrelay-benchmarks/src/main/java/org/monsoonrelay/benchmarks/routing/TwoRandomChoice.java
+++ b/monsoonrelay-benchmarks/src/main/java/org/monsoonrelay/benchmarks/routing/TwoRandomChoice.java
@@ -5,8 +5,8 @@
 import java.util.Optional;
 
 import org.apache.commons.rng.UniformRandomProvider;
-import org.monsoonrelay.logic.routing.ServerChoice;
 import org.monsoonrelay.logic.routing.ServerLoad;
+import org.monsoonrelay.logic.routing.ServerSelector;
 
 /**
  * Baseline: of two random servers the one with fewer requests of this gateway in flight.
@@ -14,10 +14,10 @@
  *
  * @param random the randomness
  */
-record TwoRandomChoice(UniformRandomProvider random) implements ServerChoice {
+record TwoRandomChoice(UniformRandomProvider random) implements ServerSelector {
 
 	@Override
-	public <S extends ServerLoad> Optional<S> choose(List<S> able, Instant now) {
+	public <S extends ServerLoad> Optional<S> select(List<S> able, Instant now) {
 		if (able.isEmpty()) {
 			return Optional.empty();
 		}
--- a/monsoonrelay-benchmarks/src/test/java/org/monsoonrelay/benchmarks/routing/TrafficClassesTests.java
+++ b/monsoonrelay-benchmarks/src/test/java/org/monsoonrelay/benchmarks/routing/TrafficClassesTests.java
@@ -6,8 +6,8 @@
 
 import org.junit.jupiter.api.Nested;
 import org.junit.jupiter.api.Test;
-import org.monsoonrelay.logic.routing.LeastExpectedLoadChoice;
-import org.monsoonrelay.logic.routing.RefusalPause;
+import org.monsoonrelay.logic.routing.LeastExpectedLoadSelector;
+import org.monsoonrelay.logic.routing.RefusalBackoff;
 import org.monsoonrelay.model.request.TrafficClass;
 
 import static org.assertj.core.api.Assertions.assertThat;
@@ -19,7 +19,7 @@
 	private static final ModelTraffic BATCH = new ModelTraffic(TrafficClass.BATCH, 1.5, Duration.ofSeconds(1));
 
 	private static final Map<TrafficClass, ModelResult> RESULTS = new RoutingModel(ModelCell.today(false, 4, 7),
-			RefusalPause.DEFAULT, LeastExpectedLoadChoice::new)
+			RefusalBackoff.DEFAULT, LeastExpectedLoadSelector::new)
 		.run(List.of(DESK, BATCH));
 
 	@Nested
--- a/monsoonrelay-gateway/src/main/java/org/monsoonrelay/gateway/GatewayServices.java
+++ b/monsoonrelay-gateway/src/main/java/org/monsoonrelay/gateway/GatewayServices.java
@@ -12,7 +12,7 @@
 
 import org.apache.commons.rng.simple.RandomSource;
 import org.monsoonrelay.logic.control.ControlTracker;
-import org.monsoonrelay.logic.idempotency.IdempotentRequests;
+import org.monsoonrelay.logic.idempotency.IdempotentRequestRouter;
 import org.monsoonrelay.logic.platform.HostList;
 import org.monsoonrelay.logic.platform.TableService;
 import org.monsoonrelay.logic.routing.BackendClient;
@@ -44,7 +44,7 @@
 
 	private final InstantSource clock;
 
-	private final IdempotentRequests idempotent;
+	private final IdempotentRequestRouter idempotent;
 
 	private final Map<String, ServiceRouter> routers = new ConcurrentHashMap<>();
 
@@ -56,7 +56,7 @@
 		this.tracker = tracker;
 		this.client = client;
 		this.clock = clock;
-		this.idempotent = new IdempotentRequests(table, this::route, clock, RETRY_AFTER);
+		this.idempotent = new IdempotentRequestRouter(table, this::route, clock, RETRY_AFTER);
 	}
 
 	Optional<ServiceDeclaration> declaration(String service) {
@@ -117,21 +117,21 @@
 	Set<String> leaving() {
 		return this.routers.values()
 			.stream()
-			.flatMap((router) -> router.pool().leaving().stream())
+			.flatMap((router) -> router.pool().leavingIncarnations().stream())
 			.collect(Collectors.toUnmodifiableSet());
 	}
 
 	void expire() {
-		this.routers.values().forEach(ServiceRouter::expire);
+		this.routers.values().forEach(ServiceRouter::refuseExpired);
 	}
 
 	void retryDelayed() {
-		this.idempotent.retryDelayed();
+		this.idempotent.retryDelayedWrites();
 	}
 
 	int unfinished() {
-		return this.idempotent.unsettled()
-				+ this.routers.values().stream().mapToInt((router) -> router.waiting() + router.inFlight()).sum();
+		return this.idempotent.pendingWrites()
+				+ this.routers.values().stream().mapToInt((router) -> router.waitingCount() + router.inFlight()).sum();
 	}
 
 	boolean hasHosts() {
--- a/monsoonrelay-gateway/src/test/java/org/monsoonrelay/gateway/CallerRoutesTests.java
+++ b/monsoonrelay-gateway/src/test/java/org/monsoonrelay/gateway/CallerRoutesTests.java
@@ -135,7 +135,7 @@
 	}
 
 	private static AttemptResult whole(String body, HeaderLine... headers) {
-		return new AttemptResult.Whole(200, List.of(headers), body.getBytes(StandardCharsets.UTF_8));
+		return new AttemptResult.Answered(200, List.of(headers), body.getBytes(StandardCharsets.UTF_8));
 	}
 
 	private static String post(String headers, String body) {
@@ -267,7 +267,7 @@
 			awaitRouterOf(attempt);
 			assertThat(CallerRoutesTests.this.services.unfinished()).isOne();
 
-			attempt.result().complete(new AttemptResult.Broken(true, "timeout"));
+			attempt.result().complete(new AttemptResult.Incomplete(true, "timeout"));
 
 			assertThat(CallerRoutesTests.this.services.unfinished()).isZero();
 		}
@@ -321,7 +321,7 @@
 		@Test
 		void thatAreUnknownNameTheRequest() throws Exception {
 			CallerRoutesTests.this.caller.post(CONFIRM, "", "x");
-			CallerRoutesTests.this.attempts.take().result().complete(new AttemptResult.Broken(false, "reset"));
+			CallerRoutesTests.this.attempts.take().result().complete(new AttemptResult.Incomplete(false, "reset"));
 
 			assertThat(CallerRoutesTests.this.caller.read()).startsWith("HTTP/1.1 502")
 				.contains("urn:monsoonrelay:problem:unknown-outcome",
--- a/monsoonrelay-gateway/src/test/java/org/monsoonrelay/gateway/GatewayServicesTests.java
+++ b/monsoonrelay-gateway/src/test/java/org/monsoonrelay/gateway/GatewayServicesTests.java
@@ -27,7 +27,7 @@
 
 class GatewayServicesTests {
 
-	private static final AttemptResult WHOLE = new AttemptResult.Whole(200, List.of(), new byte[0]);
+	private static final AttemptResult WHOLE = new AttemptResult.Answered(200, List.of(), new byte[0]);
 
 	private static final Operation LOOKUP = new Operation("lookup", TrafficClass.DESK, true, 1000);
 
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/idempotency/IdempotentRequests.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/idempotency/IdempotentRequestRouter.java
@@ -30,7 +30,7 @@
  * reading back; one that cannot be settled is not run and its key is freed later; a key
  * whose request may have run stays taken. Thread-safe.
  */
-public final class IdempotentRequests {
+public final class IdempotentRequestRouter {
 
 	/** How long a key is kept at least. */
 	public static final Duration RETENTION = Duration.ofHours(24);
@@ -38,7 +38,7 @@
 	/** The largest answer kept, headers and body. */
 	public static final int MAXIMUM_ANSWER_BYTES = 2048;
 
-	private static final int MAXIMUM_TRIES = 8;
+	private static final int MAXIMUM_ATTEMPTS = 8;
 
 	private final TableService table;
 
@@ -48,9 +48,9 @@
 
 	private final Duration retryAfter;
 
-	private final Queue<Change> delayed = new ConcurrentLinkedQueue<>();
+	private final Queue<RowUpdate> delayedUpdates = new ConcurrentLinkedQueue<>();
 
-	private final AtomicInteger unsettled = new AtomicInteger();
+	private final AtomicInteger pendingWrites = new AtomicInteger();
 
 	/**
 	 * Create the runner.
@@ -59,8 +59,9 @@
 	 * @param clock the clock
 	 * @param retryAfter when to come back after the table could not be reached
 	 */
-	public IdempotentRequests(TableService table, Function<ForwardedRequest, CompletableFuture<RequestOutcome>> router,
-			InstantSource clock, Duration retryAfter) {
+	public IdempotentRequestRouter(TableService table,
+			Function<ForwardedRequest, CompletableFuture<RequestOutcome>> router, InstantSource clock,
+			Duration retryAfter) {
 		this.table = table;
 		this.router = router;
 		this.clock = clock;
@@ -76,60 +77,60 @@
 	public CompletableFuture<RequestOutcome> route(String key, ForwardedRequest request) {
 		RequestKey requestKey = RequestKey.of(key, request);
 		CompletableFuture<Optional<RequestOutcome>> decided = new CompletableFuture<>();
-		reserve(new Attempt(requestKey, request, MAXIMUM_TRIES, false))
+		reserve(new ReservationAttempt(requestKey, request, MAXIMUM_ATTEMPTS, false))
 			.exceptionally((failure) -> Optional.of(new RequestOutcome.Unknown("the table's row cannot be read")))
 			.thenAccept((earlier) -> {
 				boolean inTime = decided.complete(earlier);
 				if (!inTime && earlier.isEmpty()) {
-					release(requestKey, request);
+					releaseKey(requestKey, request);
 				}
 			});
 		RequestOutcome late = new RequestOutcome.NotRun(NotRunReason.DEADLINE, this.retryAfter);
-		return decided.completeOnTimeout(Optional.of(late), millisLeft(request), TimeUnit.MILLISECONDS)
+		return decided.completeOnTimeout(Optional.of(late), remainingMillis(request), TimeUnit.MILLISECONDS)
 			.thenCompose((earlier) -> earlier.map(CompletableFuture::completedFuture)
-				.orElseGet(() -> run(requestKey, request)));
+				.orElseGet(() -> routeReserved(requestKey, request)));
 	}
 
-	private long millisLeft(ForwardedRequest request) {
+	private long remainingMillis(ForwardedRequest request) {
 		return Math.max(0, Duration.between(this.clock.instant(), request.deadline()).toMillis());
 	}
 
-	private CompletableFuture<Optional<RequestOutcome>> reserve(Attempt attempt) {
+	private CompletableFuture<Optional<RequestOutcome>> reserve(ReservationAttempt attempt) {
 		if (!this.clock.instant().isBefore(attempt.request().deadline())) {
-			return notReserved(attempt, NotRunReason.DEADLINE);
+			return abandonReservation(attempt, NotRunReason.DEADLINE);
 		}
-		if (attempt.triesLeft() == 0) {
-			return notReserved(attempt, NotRunReason.OVERLOAD);
+		if (attempt.attemptsLeft() == 0) {
+			return abandonReservation(attempt, NotRunReason.OVERLOAD);
 		}
 		return this.table.read(attempt.key().row())
-			.handle((row, failure) -> (failure != null) ? notReserved(attempt, NotRunReason.PLATFORM_UNAVAILABLE)
-					: decide(attempt, row))
+			.handle((row, failure) -> (failure != null) ? abandonReservation(attempt, NotRunReason.PLATFORM_UNAVAILABLE)
+					: reserveInRow(attempt, row))
 			.thenCompose(Function.identity());
 	}
 
-	private CompletableFuture<Optional<RequestOutcome>> decide(Attempt attempt, Optional<Row> row) {
-		KeyBucket bucket = bucket(row);
+	private CompletableFuture<Optional<RequestOutcome>> reserveInRow(ReservationAttempt attempt, Optional<Row> row) {
+		KeyBucket bucket = readBucket(row);
 		Optional<KeyRecord> found = bucket.find(attempt.key().digest());
 		if (found.isPresent()) {
-			return CompletableFuture.completedFuture(earlier(attempt, found.get()));
+			return CompletableFuture.completedFuture(earlierOutcome(attempt, found.get()));
 		}
 		Instant now = this.clock.instant();
-		KeyRecord added = KeyRecord.open(attempt.key(), attempt.request().id(), now.plus(RETENTION));
-		Optional<KeyBucket> next = bucket.with(added, now);
+		KeyRecord added = KeyRecord.reserved(attempt.key(), attempt.request().id(), now.plus(RETENTION));
+		Optional<KeyBucket> next = bucket.withRecord(added, now);
 		if (next.isEmpty()) {
-			return notReserved(attempt, NotRunReason.OVERLOAD);
+			return abandonReservation(attempt, NotRunReason.OVERLOAD);
 		}
-		return write(attempt.key().row(), next.get(), row).handle((result, failure) -> {
+		return writeBucket(attempt.key().row(), next.get(), row).handle((result, failure) -> {
 			if (failure != null) {
-				return reserve(attempt.next(attempt.mayHold() || mayHaveTakenEffect(failure)));
+				return reserve(attempt.nextAttempt(attempt.mayBeReserved() || mayHaveTakenEffect(failure)));
 			}
 			return (result instanceof CommitResult.Committed)
 					? CompletableFuture.completedFuture(Optional.<RequestOutcome>empty())
-					: reserve(attempt.next(attempt.mayHold()));
+					: reserve(attempt.nextAttempt(attempt.mayBeReserved()));
 		}).thenCompose(Function.identity());
 	}
 
-	private Optional<RequestOutcome> earlier(Attempt attempt, KeyRecord found) {
+	private Optional<RequestOutcome> earlierOutcome(ReservationAttempt attempt, KeyRecord found) {
 		if (found.writeId().equals(attempt.request().id())) {
 			return Optional.empty();
 		}
@@ -138,53 +139,54 @@
 		}
 		return Optional.of(switch (found.state()) {
 			case OPEN -> new RequestOutcome.Unknown("an earlier request with this key has no known answer");
-			case ANSWERED -> found.answer().outcome();
+			case ANSWERED -> found.answer().toOutcome();
 			case ANSWER_NOT_KEPT -> new RequestOutcome.Unknown(
 					"an earlier request with this key ran, and its answer was too large to be kept");
 		});
 	}
 
-	private CompletableFuture<Optional<RequestOutcome>> notReserved(Attempt attempt, NotRunReason reason) {
-		if (attempt.mayHold()) {
-			release(attempt.key(), attempt.request());
+	private CompletableFuture<Optional<RequestOutcome>> abandonReservation(ReservationAttempt attempt,
+			NotRunReason reason) {
+		if (attempt.mayBeReserved()) {
+			releaseKey(attempt.key(), attempt.request());
 		}
 		return CompletableFuture.completedFuture(Optional.of(new RequestOutcome.NotRun(reason, this.retryAfter)));
 	}
 
-	private CompletableFuture<RequestOutcome> run(RequestKey key, ForwardedRequest request) {
+	private CompletableFuture<RequestOutcome> routeReserved(RequestKey key, ForwardedRequest request) {
 		return this.router.apply(request).thenCompose((outcome) -> {
 			if (outcome instanceof RequestOutcome.NotRun) {
-				release(key, request);
+				releaseKey(key, request);
 			}
 			if (outcome instanceof RequestOutcome.Answered answered) {
-				return keep(key, request, answered);
+				return storeAnswer(key, request, answered);
 			}
 			return CompletableFuture.completedFuture(outcome);
 		});
 	}
 
-	private CompletableFuture<RequestOutcome> keep(RequestKey key, ForwardedRequest request,
+	private CompletableFuture<RequestOutcome> storeAnswer(RequestKey key, ForwardedRequest request,
 			RequestOutcome.Answered answered) {
 		// Passed on at the deadline at the latest, whether or not it is kept by then.
 		StoredAnswer answer = StoredAnswer.of(answered);
-		Change change = new Change(key.row(),
-				(bucket) -> bucket.change(request.id(), (record) -> record.answered(answer, MAXIMUM_ANSWER_BYTES)));
-		return settle(change).completeOnTimeout(null, millisLeft(request), TimeUnit.MILLISECONDS)
+		RowUpdate change = new RowUpdate(key.row(), (bucket) -> bucket.withUpdatedRecord(request.id(),
+				(record) -> record.withAnswer(answer, MAXIMUM_ANSWER_BYTES)));
+		return applyOrDelay(change).completeOnTimeout(null, remainingMillis(request), TimeUnit.MILLISECONDS)
 			.thenApply((kept) -> answered);
 	}
 
-	private void release(RequestKey key, ForwardedRequest request) {
-		settle(new Change(key.row(), (bucket) -> bucket.without(request.id())));
+	private void releaseKey(RequestKey key, ForwardedRequest request) {
+		applyOrDelay(new RowUpdate(key.row(), (bucket) -> bucket.withoutRecord(request.id())));
 	}
 
-	private CompletableFuture<Void> settle(Change change) {
-		this.unsettled.incrementAndGet();
-		return apply(change, MAXIMUM_TRIES).handle((done, failure) -> {
+	private CompletableFuture<Void> applyOrDelay(RowUpdate change) {
+		this.pendingWrites.incrementAndGet();
+		return apply(change, MAXIMUM_ATTEMPTS).handle((done, failure) -> {
 			if (failure != null) {
-				this.delayed.add(change);
+				this.delayedUpdates.add(change);
 			}
 			else {
-				this.unsettled.decrementAndGet();
+				this.pendingWrites.decrementAndGet();
 			}
 			return null;
 		});
@@ -193,12 +195,12 @@
 	/**
 	 * Write what could not be written before. To be called regularly.
 	 */
-	public void retryDelayed() {
-		for (int left = this.delayed.size(); left > 0; left--) {
-			Change change = this.delayed.poll();
+	public void retryDelayedWrites() {
+		for (int left = this.delayedUpdates.size(); left > 0; left--) {
+			RowUpdate change = this.delayedUpdates.poll();
 			if (change != null) {
-				this.unsettled.decrementAndGet();
-				settle(change);
+				this.pendingWrites.decrementAndGet();
+				applyOrDelay(change);
 			}
 		}
 	}
@@ -207,28 +209,28 @@
 	 * Number of answers and releases that are not written yet.
 	 * @return the count
 	 */
-	public int unsettled() {
-		return this.unsettled.get();
+	public int pendingWrites() {
+		return this.pendingWrites.get();
 	}
 
-	private CompletableFuture<Void> apply(Change change, int triesLeft) {
+	private CompletableFuture<Void> apply(RowUpdate change, int triesLeft) {
 		// Written also where nothing changes: that makes a reservation on its way fail.
 		if (triesLeft == 0) {
 			return CompletableFuture
 				.failedFuture(new PlatformException("other writes kept coming first: " + change.row(), false, null));
 		}
 		return this.table.read(change.row())
-			.thenCompose((row) -> write(change.row(), change.change().apply(bucket(row)), row))
+			.thenCompose((row) -> writeBucket(change.row(), change.update().apply(readBucket(row)), row))
 			.thenCompose((result) -> (result instanceof CommitResult.Committed)
 					? CompletableFuture.<Void>completedFuture(null) : apply(change, triesLeft - 1));
 	}
 
-	private CompletableFuture<CommitResult> write(String key, KeyBucket bucket, Optional<Row> present) {
+	private CompletableFuture<CommitResult> writeBucket(String key, KeyBucket bucket, Optional<Row> present) {
 		long expected = present.map(Row::version).orElse(ConditionalWrite.ABSENT);
 		return this.table.commit(List.of(new ConditionalWrite(key, Json.write(bucket), expected)));
 	}
 
-	private static KeyBucket bucket(Optional<Row> row) {
+	private static KeyBucket readBucket(Optional<Row> row) {
 		return row.map((present) -> Json.read(present.value(), KeyBucket.class)).orElse(KeyBucket.EMPTY);
 	}
 
@@ -245,10 +247,11 @@
 	 * @param triesLeft how many tries are left
 	 * @param mayHold whether an earlier try may have taken effect
 	 */
-	private record Attempt(RequestKey key, ForwardedRequest request, int triesLeft, boolean mayHold) {
+	private record ReservationAttempt(RequestKey key, ForwardedRequest request, int attemptsLeft,
+			boolean mayBeReserved) {
 
-		Attempt next(boolean mayHoldNow) {
-			return new Attempt(this.key, this.request, this.triesLeft - 1, mayHoldNow);
+		ReservationAttempt nextAttempt(boolean mayHoldNow) {
+			return new ReservationAttempt(this.key, this.request, this.attemptsLeft - 1, mayHoldNow);
 		}
 
 	}
@@ -259,7 +262,7 @@
 	 * @param row the row
 	 * @param change the change, idempotent
 	 */
-	private record Change(String row, UnaryOperator<KeyBucket> change) {
+	private record RowUpdate(String row, UnaryOperator<KeyBucket> update) {
 
 	}
 
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/idempotency/KeyBucket.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/idempotency/KeyBucket.java
@@ -18,7 +18,7 @@
 
 	static final KeyBucket EMPTY = new KeyBucket(List.of());
 
-	static final int ALWAYS_KEPT = 8;
+	static final int MINIMUM_RETAINED_RECORDS = 8;
 
 	static final int MAXIMUM_RECORDS = 32;
 
@@ -36,9 +36,9 @@
 	 * @param now the present time
 	 * @return the bucket with the record, or empty if it is full
 	 */
-	Optional<KeyBucket> with(KeyRecord added, Instant now) {
+	Optional<KeyBucket> withRecord(KeyRecord added, Instant now) {
 		List<KeyRecord> next = new ArrayList<>();
-		int surplus = this.records.size() - ALWAYS_KEPT;
+		int surplus = this.records.size() - MINIMUM_RETAINED_RECORDS;
 		for (KeyRecord record : this.records) {
 			if (surplus-- <= 0 || now.isBefore(record.keepUntil())) {
 				next.add(record);
@@ -48,11 +48,11 @@
 		return (next.size() <= MAXIMUM_RECORDS) ? Optional.of(new KeyBucket(next)) : Optional.empty();
 	}
 
-	KeyBucket without(String writeId) {
+	KeyBucket withoutRecord(String writeId) {
 		return new KeyBucket(this.records.stream().filter((record) -> !record.writeId().equals(writeId)).toList());
 	}
 
-	KeyBucket change(String writeId, UnaryOperator<KeyRecord> change) {
+	KeyBucket withUpdatedRecord(String writeId, UnaryOperator<KeyRecord> change) {
 		return new KeyBucket(this.records.stream()
 			.map((record) -> record.writeId().equals(writeId) ? change.apply(record) : record)
 			.toList());
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/idempotency/KeyRecord.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/idempotency/KeyRecord.java
@@ -16,11 +16,11 @@
 public record KeyRecord(String key, String fingerprint, String writeId, KeyState state, Instant keepUntil,
 		StoredAnswer answer) {
 
-	static KeyRecord open(RequestKey key, String writeId, Instant keepUntil) {
+	static KeyRecord reserved(RequestKey key, String writeId, Instant keepUntil) {
 		return new KeyRecord(key.digest(), key.fingerprint(), writeId, KeyState.OPEN, keepUntil, StoredAnswer.NONE);
 	}
 
-	KeyRecord answered(StoredAnswer whole, int maximumSize) {
+	KeyRecord withAnswer(StoredAnswer whole, int maximumSize) {
 		boolean kept = whole.size() <= maximumSize;
 		return new KeyRecord(this.key, this.fingerprint, this.writeId,
 				kept ? KeyState.ANSWERED : KeyState.ANSWER_NOT_KEPT, this.keepUntil, kept ? whole : StoredAnswer.NONE);
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/idempotency/RequestKey.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/idempotency/RequestKey.java
@@ -15,13 +15,13 @@
  */
 record RequestKey(String row, String digest, String fingerprint) {
 
-	private static final int BUCKET_DIGITS = 4;
+	private static final int BUCKET_HEX_DIGITS = 4;
 
 	private static final String SEPARATOR = "\n";
 
 	static RequestKey of(String key, ForwardedRequest request) {
 		String digest = Digest.of(request.service() + SEPARATOR + key);
-		String row = TableKeys.REQUEST_KEYS + request.service() + "/" + digest.substring(0, BUCKET_DIGITS);
+		String row = TableKeys.REQUEST_KEYS + request.service() + "/" + digest.substring(0, BUCKET_HEX_DIGITS);
 		String body = new String(request.body(), StandardCharsets.ISO_8859_1);
 		String fingerprint = Digest
 			.of(String.join(SEPARATOR, request.operation().name(), request.method(), request.query(), body));
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/idempotency/StoredAnswer.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/idempotency/StoredAnswer.java
@@ -31,7 +31,7 @@
 				+ this.headers.stream().mapToInt((header) -> header.name().length() + header.value().length()).sum();
 	}
 
-	RequestOutcome.Answered outcome() {
+	RequestOutcome.Answered toOutcome() {
 		return new RequestOutcome.Answered(this.status, this.headers, this.body);
 	}
 
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/rack/AttemptEvents.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/rack/AttemptEvents.java
@@ -22,18 +22,18 @@
  */
 final class AttemptEvents {
 
-	private final Map<AttemptId, AttemptEvent> waiting = new LinkedHashMap<>();
+	private final Map<AttemptId, AttemptEvent> unacknowledged = new LinkedHashMap<>();
 
-	private final Map<AttemptId, WorkerSlot> slots = new HashMap<>();
+	private final Map<AttemptId, TrackedWorker> workers = new HashMap<>();
 
-	private final Consumer<AttemptEvent> judge;
+	private final Consumer<AttemptEvent> newEventListener;
 
 	/**
 	 * Begin without attempts.
 	 * @param judge told of each new event
 	 */
 	AttemptEvents(Consumer<AttemptEvent> judge) {
-		this.judge = judge;
+		this.newEventListener = judge;
 	}
 
 	/**
@@ -41,30 +41,30 @@
 	 * @param attempt the attempt
 	 * @return the worker, if one is known
 	 */
-	Optional<WorkerSlot> slot(AttemptId attempt) {
-		return Optional.ofNullable(this.slots.get(attempt));
+	Optional<TrackedWorker> worker(AttemptId attempt) {
+		return Optional.ofNullable(this.workers.get(attempt));
 	}
 
-	void put(AttemptId attempt, WorkerSlot slot) {
-		this.slots.put(attempt, slot);
+	void assign(AttemptId attempt, TrackedWorker slot) {
+		this.workers.put(attempt, slot);
 	}
 
-	void forget(AttemptId attempt) {
-		this.slots.remove(attempt);
-		this.waiting.remove(attempt);
+	void remove(AttemptId attempt) {
+		this.workers.remove(attempt);
+		this.unacknowledged.remove(attempt);
 	}
 
 	/**
 	 * Forget all that is on some workers.
 	 * @param gone the workers
 	 */
-	void forgetAll(Collection<WorkerSlot> gone) {
-		Set<AttemptId> attempts = this.slots.entrySet()
+	void removeAllOn(Collection<TrackedWorker> gone) {
+		Set<AttemptId> attempts = this.workers.entrySet()
 			.stream()
 			.filter((entry) -> gone.contains(entry.getValue()))
 			.map(Map.Entry::getKey)
 			.collect(Collectors.toSet());
-		attempts.forEach(this::forget);
+		attempts.forEach(this::remove);
 	}
 
 	/**
@@ -72,17 +72,17 @@
 	 * @param event the event
 	 * @param slot the slot
 	 */
-	void post(AttemptEvent event, WorkerSlot slot) {
-		AttemptEvent present = this.waiting.get(event.attempt());
+	void publish(AttemptEvent event, TrackedWorker slot) {
+		AttemptEvent present = this.unacknowledged.get(event.attempt());
 		if (present != null && present.kind().isEnd() && !event.kind().isEnd()) {
 			return;
 		}
-		WorkerSlot before = this.slots.put(event.attempt(), slot);
+		TrackedWorker before = this.workers.put(event.attempt(), slot);
 		boolean known = before == slot && event.kind() == AttemptEventKind.RUNNING
-				&& slot.announcedRunning(event.attempt());
+				&& slot.isRunningAcknowledged(event.attempt());
 		if (!known || present != null) {
-			if (!event.equals(this.waiting.put(event.attempt(), event))) {
-				this.judge.accept(event);
+			if (!event.equals(this.unacknowledged.put(event.attempt(), event))) {
+				this.newEventListener.accept(event);
 			}
 		}
 	}
@@ -92,18 +92,18 @@
 	 * @param attempt the attempt
 	 * @param slot the worker that has announced that it runs
 	 */
-	void postRunning(AttemptId attempt, WorkerSlot slot) {
-		this.waiting.putIfAbsent(attempt, slot.event(attempt, AttemptEventKind.RUNNING));
+	void republishRunning(AttemptId attempt, TrackedWorker slot) {
+		this.unacknowledged.putIfAbsent(attempt, slot.createEvent(attempt, AttemptEventKind.RUNNING));
 	}
 
 	/**
 	 * Post again all that is known of a team's attempts.
 	 * @param team the team
 	 */
-	void postRunning(String team) {
-		this.slots.forEach((attempt, slot) -> {
-			if (slot.announcedRunning(attempt) && slot.team(attempt).equals(team)) {
-				postRunning(attempt, slot);
+	void republishRunning(String team) {
+		this.workers.forEach((attempt, slot) -> {
+			if (slot.isRunningAcknowledged(attempt) && slot.team(attempt).equals(team)) {
+				republishRunning(attempt, slot);
 			}
 		});
 	}
@@ -112,10 +112,10 @@
 	 * Events not yet acknowledged.
 	 * @return the events, by team
 	 */
-	Map<String, List<AttemptEvent>> byTeam() {
-		return this.waiting.values()
+	Map<String, List<AttemptEvent>> unacknowledgedByTeam() {
+		return this.unacknowledged.values()
 			.stream()
-			.collect(Collectors.groupingBy((event) -> this.slots.get(event.attempt()).team(event.attempt())));
+			.collect(Collectors.groupingBy((event) -> this.workers.get(event.attempt()).team(event.attempt())));
 	}
 
 	/**
@@ -123,20 +123,20 @@
 	 * @param event the event
 	 */
 	void acknowledge(AttemptEvent event) {
-		if (!event.equals(this.waiting.get(event.attempt()))) {
+		if (!event.equals(this.unacknowledged.get(event.attempt()))) {
 			return;
 		}
-		this.waiting.remove(event.attempt());
-		WorkerSlot slot = this.slots.get(event.attempt());
+		this.unacknowledged.remove(event.attempt());
+		TrackedWorker slot = this.workers.get(event.attempt());
 		if (event.kind() == AttemptEventKind.RUNNING) {
-			slot.announceRunning(event.attempt());
+			slot.markRunningAcknowledged(event.attempt());
 		}
 		else if (event.kind() != AttemptEventKind.LAPSED) {
-			this.slots.remove(event.attempt());
-			slot.forget(event.attempt());
+			this.workers.remove(event.attempt());
+			slot.addForget(event.attempt());
 		}
 		else if (!slot.worker().attempts().contains(event.attempt())) {
-			this.slots.remove(event.attempt());
+			this.workers.remove(event.attempt());
 		}
 	}
 
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/rack/Rack.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/rack/Rack.java
@@ -22,20 +22,20 @@
 
 	private final long epoch;
 
-	private final Map<WorkerId, WorkerSlot> slots = new TreeMap<>();
+	private final Map<WorkerId, TrackedWorker> workers = new TreeMap<>();
 
 	Rack(String name, long epoch) {
 		this.name = name;
 		this.epoch = epoch;
 	}
 
-	void put(Host host, long nowNanos) {
-		this.slots.computeIfAbsent(new WorkerId(host.name()), (id) -> new WorkerSlot(host, nowNanos))
+	void addOrUpdateWorker(Host host, long nowNanos) {
+		this.workers.computeIfAbsent(new WorkerId(host.name()), (id) -> new TrackedWorker(host, nowNanos))
 			.update(host, host.state() == HostState.LEAVING);
 	}
 
-	void remove(WorkerId worker) {
-		this.slots.remove(worker);
+	void removeWorker(WorkerId worker) {
+		this.workers.remove(worker);
 	}
 
 	/**
@@ -44,10 +44,10 @@
 	 * @return the workers
 	 */
 	List<Worker> usableWorkers(WorkerHealth health) {
-		return this.slots.values()
+		return this.workers.values()
 			.stream()
-			.filter(WorkerSlot::isUsable)
-			.map(WorkerSlot::worker)
+			.filter(TrackedWorker::isUsable)
+			.map(TrackedWorker::worker)
 			.filter((worker) -> health.isUsable(worker.id()))
 			.toList();
 	}
@@ -62,19 +62,23 @@
 			free = free.plus(worker.free());
 			largest = Math.max(largest, worker.free().processors());
 		}
-		String domain = this.slots.values().stream().findFirst().map((slot) -> slot.host().failureDomain()).orElse("");
-		boolean settled = this.slots.values()
+		String domain = this.workers.values()
 			.stream()
-			.allMatch((slot) -> slot.worker().isReported() || slot.isSilent());
+			.findFirst()
+			.map((slot) -> slot.host().failureDomain())
+			.orElse("");
+		boolean settled = this.workers.values()
+			.stream()
+			.allMatch((slot) -> slot.worker().isReported() || slot.isUnresponsive());
 		return new RackSummary(this.name, domain, this.epoch, usable.size(), capacity, free, largest, settled);
 	}
 
-	WorkerSlot slot(WorkerId worker) {
-		return this.slots.get(worker);
+	TrackedWorker worker(WorkerId worker) {
+		return this.workers.get(worker);
 	}
 
-	Collection<WorkerSlot> slots() {
-		return this.slots.values();
+	Collection<TrackedWorker> workers() {
+		return this.workers.values();
 	}
 
 	String name() {
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/rack/RackManager.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/rack/RackManager.java
@@ -38,31 +38,31 @@
 
 	private final WorkerAgents agents;
 
-	private final Executor control;
+	private final Executor controlExecutor;
 
 	private final InstantSource clock;
 
 	private final LongSupplier monotonicNanos;
 
-	private final Duration lease;
+	private final Duration leaseDuration;
 
 	private final Map<String, Rack> racks = new TreeMap<>();
 
 	private final WorkerHealth health;
 
-	private final AttemptEvents attempts;
+	private final AttemptEvents attemptEvents;
 
 	private HostList hosts = new HostList(0, List.of());
 
 	public RackManager(WorkerAgents agents, Executor control, InstantSource clock, LongSupplier monotonicNanos,
 			Duration lease) {
 		this.agents = agents;
-		this.control = control;
+		this.controlExecutor = control;
 		this.clock = clock;
 		this.monotonicNanos = monotonicNanos;
-		this.lease = lease;
+		this.leaseDuration = lease;
 		this.health = new WorkerHealth(monotonicNanos);
-		this.attempts = new AttemptEvents(this.health::judge);
+		this.attemptEvents = new AttemptEvents(this.health::recordOutcome);
 	}
 
 	/**
@@ -70,12 +70,12 @@
 	 * @param rack the rack
 	 * @param epoch epoch of the ownership
 	 */
-	public void own(String rack, long epoch) {
+	public void acquireOwnership(String rack, long epoch) {
 		Rack present = this.racks.get(rack);
 		if (present == null || present.epoch() < epoch) {
-			disown(rack);
+			releaseOwnership(rack);
 			this.racks.put(rack, new Rack(rack, epoch));
-			populate();
+			addListedWorkers();
 		}
 	}
 
@@ -83,10 +83,10 @@
 	 * Cease to own a rack. What runs there goes on under its next owner.
 	 * @param rack the rack
 	 */
-	public void disown(String rack) {
+	public void releaseOwnership(String rack) {
 		Rack removed = this.racks.remove(rack);
 		if (removed != null) {
-			this.attempts.forgetAll(removed.slots());
+			this.attemptEvents.removeAllOn(removed.workers());
 		}
 	}
 
@@ -100,29 +100,29 @@
 			return;
 		}
 		this.hosts = list;
-		populate();
+		addListedWorkers();
 		Set<String> listed = list.hosts().stream().map(Host::name).collect(Collectors.toSet());
 		for (Rack rack : this.racks.values()) {
-			rack.slots()
+			rack.workers()
 				.stream()
 				.filter((slot) -> !listed.contains(slot.host().name()))
 				.toList()
-				.forEach((slot) -> remove(rack, slot));
+				.forEach((slot) -> removeWorker(rack, slot));
 		}
 	}
 
-	private void populate() {
+	private void addListedWorkers() {
 		for (Host host : this.hosts.hosts()) {
 			Rack rack = this.racks.get(host.rack());
 			if (host.kind() == HostKind.WORKER && rack != null) {
-				rack.put(host, this.monotonicNanos.getAsLong());
+				rack.addOrUpdateWorker(host, this.monotonicNanos.getAsLong());
 			}
 		}
 	}
 
-	private void remove(Rack rack, WorkerSlot slot) {
-		rack.remove(slot.worker().id());
-		slot.gone().forEach((event) -> this.attempts.post(event, slot));
+	private void removeWorker(Rack rack, TrackedWorker slot) {
+		rack.removeWorker(slot.worker().id());
+		slot.createHostRemovedEvents().forEach((event) -> this.attemptEvents.publish(event, slot));
 	}
 
 	/**
@@ -137,24 +137,24 @@
 		}
 		List<Reservation> reserved = new ArrayList<>();
 		for (AttemptId attempt : request.attempts()) {
-			place(rack, request, attempt).ifPresent(reserved::add);
+			reserveOne(rack, request, attempt).ifPresent(reserved::add);
 		}
 		return reserved;
 	}
 
-	private Optional<Reservation> place(Rack rack, ReservationRequest request, AttemptId attempt) {
-		Optional<WorkerSlot> held = this.attempts.slot(attempt);
+	private Optional<Reservation> reserveOne(Rack rack, ReservationRequest request, AttemptId attempt) {
+		Optional<TrackedWorker> held = this.attemptEvents.worker(attempt);
 		if (held.isPresent()) {
 			Worker worker = held.get().worker();
 			return Optional.of(new Reservation(attempt, worker.id(), worker.incarnation()));
 		}
-		Optional<Worker> chosen = this.health.choose(rack.usableWorkers(this.health), request, attempt.job());
+		Optional<Worker> chosen = this.health.chooseWorker(rack.usableWorkers(this.health), request, attempt.job());
 		if (chosen.isEmpty() || !chosen.get().reserve(attempt, request.size(), request.deadline())) {
 			return Optional.empty();
 		}
-		WorkerSlot slot = rack.slot(chosen.get().id());
-		slot.teamOf(attempt, request.team());
-		this.attempts.put(attempt, slot);
+		TrackedWorker slot = rack.worker(chosen.get().id());
+		slot.setTeam(attempt, request.team());
+		this.attemptEvents.assign(attempt, slot);
 		if (request.startAtOnce()) {
 			start(new StartTask(attempt, request.team(), request.size(), request.runMillis()));
 		}
@@ -167,9 +167,9 @@
 	 * @return {@code true} if the reservation was still held
 	 */
 	public boolean start(StartTask start) {
-		Optional<WorkerSlot> granted = this.attempts.slot(start.attempt())
+		Optional<TrackedWorker> granted = this.attemptEvents.worker(start.attempt())
 			.filter((slot) -> slot.worker().grant(start.attempt()));
-		granted.ifPresent((slot) -> slot.order(start));
+		granted.ifPresent((slot) -> slot.addStart(start));
 		return granted.isPresent();
 	}
 
@@ -181,15 +181,15 @@
 	 * @param team the team it counts against
 	 */
 	public void stop(AttemptId attempt, WorkerId worker, String team) {
-		this.attempts.slot(attempt).or(() -> slotOf(worker)).ifPresent((slot) -> {
-			slot.teamOf(attempt, team);
-			this.attempts.put(attempt, slot);
-			slot.orderStop(attempt);
+		this.attemptEvents.worker(attempt).or(() -> findWorker(worker)).ifPresent((slot) -> {
+			slot.setTeam(attempt, team);
+			this.attemptEvents.assign(attempt, slot);
+			slot.addStop(attempt);
 		});
 	}
 
-	private Optional<WorkerSlot> slotOf(WorkerId worker) {
-		return this.racks.values().stream().map((rack) -> rack.slot(worker)).filter(Objects::nonNull).findFirst();
+	private Optional<TrackedWorker> findWorker(WorkerId worker) {
+		return this.racks.values().stream().map((rack) -> rack.worker(worker)).filter(Objects::nonNull).findFirst();
 	}
 
 	/**
@@ -198,9 +198,9 @@
 	 */
 	public void release(Collection<AttemptId> attempts) {
 		for (AttemptId attempt : attempts) {
-			this.attempts.slot(attempt).ifPresent((slot) -> {
+			this.attemptEvents.worker(attempt).ifPresent((slot) -> {
 				slot.worker().release(attempt);
-				this.attempts.forget(attempt);
+				this.attemptEvents.remove(attempt);
 			});
 		}
 	}
@@ -214,29 +214,29 @@
 	 * @param team the team it counts against
 	 */
 	public void resolve(AttemptId attempt, WorkerId worker, String incarnation, String team) {
-		slotOf(worker).ifPresent((slot) -> resolve(attempt, slot, incarnation, team));
+		findWorker(worker).ifPresent((slot) -> resolve(attempt, slot, incarnation, team));
 	}
 
-	private void resolve(AttemptId attempt, WorkerSlot slot, String incarnation, String team) {
-		slot.teamOf(attempt, team);
-		if (slot.isSilent()) {
-			this.attempts.post(slot.event(attempt, AttemptEventKind.LAPSED), slot);
+	private void resolve(AttemptId attempt, TrackedWorker slot, String incarnation, String team) {
+		slot.setTeam(attempt, team);
+		if (slot.isUnresponsive()) {
+			this.attemptEvents.publish(slot.createEvent(attempt, AttemptEventKind.LAPSED), slot);
 			return;
 		}
 		if (!slot.worker().isReported()) {
 			return;
 		}
 		if (slot.worker().attempts().contains(attempt)) {
-			if (slot.announcedRunning(attempt)) {
-				this.attempts.postRunning(attempt, slot);
+			if (slot.isRunningAcknowledged(attempt)) {
+				this.attemptEvents.republishRunning(attempt, slot);
 			}
 		}
 		else if (!slot.worker().incarnation().equals(incarnation)) {
-			this.attempts.post(slot.event(attempt, AttemptEventKind.GONE), slot);
+			this.attemptEvents.publish(slot.createEvent(attempt, AttemptEventKind.GONE), slot);
 		}
 		else {
-			this.attempts.put(attempt, slot);
-			slot.orderStop(attempt);
+			this.attemptEvents.assign(attempt, slot);
+			slot.addStop(attempt);
 		}
 	}
 
@@ -244,20 +244,20 @@
 	 * Post again all that is known of a team's attempts, for a new queue owner.
 	 * @param team the team
 	 */
-	public void claim(String team) {
-		this.attempts.postRunning(team);
+	public void republishRunning(String team) {
+		this.attemptEvents.republishRunning(team);
 	}
 
 	/**
 	 * Send a heartbeat to every worker, and release reservations that have lapsed.
 	 */
-	public void heartbeat() {
+	public void sendHeartbeats() {
 		for (Rack rack : this.racks.values()) {
-			for (WorkerSlot slot : rack.slots()) {
-				slot.worker().lapse(this.clock.instant()).forEach(this.attempts::forget);
-				slot.checkSilence(this.monotonicNanos.getAsLong(), this.lease.toNanos())
-					.forEach((event) -> this.attempts.post(event, slot));
-				call(rack, slot);
+			for (TrackedWorker slot : rack.workers()) {
+				slot.worker().lapse(this.clock.instant()).forEach(this.attemptEvents::remove);
+				slot.checkLease(this.monotonicNanos.getAsLong(), this.leaseDuration.toNanos())
+					.forEach((event) -> this.attemptEvents.publish(event, slot));
+				sendCommand(rack, slot);
 			}
 		}
 	}
@@ -265,33 +265,33 @@
 	/**
 	 * Send the orders that cannot wait for the next heartbeat.
 	 */
-	public void sendOrders() {
+	public void sendUrgentCommands() {
 		for (Rack rack : this.racks.values()) {
-			rack.slots().stream().filter(WorkerSlot::wantsUrgentCall).forEach((slot) -> call(rack, slot));
+			rack.workers().stream().filter(TrackedWorker::isCommandUrgent).forEach((slot) -> sendCommand(rack, slot));
 		}
 	}
 
-	private void call(Rack rack, WorkerSlot slot) {
-		if (slot.isCallInFlight()) {
+	private void sendCommand(Rack rack, TrackedWorker slot) {
+		if (slot.isCommandInFlight()) {
 			return;
 		}
-		slot.setCallInFlight(true);
-		WorkerCommand command = slot.command(rack.epoch(), this.lease.toMillis());
+		slot.setCommandInFlight(true);
+		WorkerCommand command = slot.createCommand(rack.epoch(), this.leaseDuration.toMillis());
 		this.agents.send(slot.host(), command).whenCompleteAsync((report, failure) -> {
-			slot.setCallInFlight(false);
+			slot.setCommandInFlight(false);
 			if (report != null && this.racks.get(rack.name()) == rack) {
-				answered(rack, slot, command, report);
+				handleReport(rack, slot, command, report);
 			}
-		}, this.control);
+		}, this.controlExecutor);
 	}
 
-	private void answered(Rack rack, WorkerSlot slot, WorkerCommand command, WorkerReport report) {
+	private void handleReport(Rack rack, TrackedWorker slot, WorkerCommand command, WorkerReport report) {
 		if (!report.accepted()) {
-			disown(rack.name());
+			releaseOwnership(rack.name());
 			return;
 		}
-		for (AttemptEvent event : slot.take(report, command, this.monotonicNanos.getAsLong())) {
-			this.attempts.post(event, slot);
+		for (AttemptEvent event : slot.applyReport(report, command, this.monotonicNanos.getAsLong())) {
+			this.attemptEvents.publish(event, slot);
 		}
 	}
 
@@ -299,8 +299,8 @@
 	 * Events not yet acknowledged, by team.
 	 * @return the events
 	 */
-	public Map<String, List<AttemptEvent>> events() {
-		return this.attempts.byTeam();
+	public Map<String, List<AttemptEvent>> unacknowledgedEvents() {
+		return this.attemptEvents.unacknowledgedByTeam();
 	}
 
 	/**
@@ -308,7 +308,7 @@
 	 * @param event the event
 	 */
 	public void acknowledge(AttemptEvent event) {
-		this.attempts.acknowledge(event);
+		this.attemptEvents.acknowledge(event);
 	}
 
 	/**
@@ -324,7 +324,11 @@
 	 * @return the workers; they belong to the control thread
 	 */
 	public List<Worker> workers() {
-		return this.racks.values().stream().flatMap((rack) -> rack.slots().stream()).map(WorkerSlot::worker).toList();
+		return this.racks.values()
+			.stream()
+			.flatMap((rack) -> rack.workers().stream())
+			.map(TrackedWorker::worker)
+			.toList();
 	}
 
 }
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/rack/WorkerHealth.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/rack/WorkerHealth.java
@@ -31,25 +31,25 @@
  */
 final class WorkerHealth {
 
-	private static final int FAILURES_IN_A_ROW = 3;
+	private static final int PROBATION_FAILURE_THRESHOLD = 3;
 
-	private static final int WORKERS_THAT_CLEAR = 3;
+	private static final int JOB_FAULT_WORKER_THRESHOLD = 3;
 
-	private static final int MAXIMUM_JOBS = 4096;
+	private static final int MAXIMUM_TRACKED_JOBS = 4096;
 
-	private static final long FIRST_PAUSE_NANOS = Duration.ofSeconds(10).toNanos();
+	private static final long INITIAL_PROBE_DELAY_NANOS = Duration.ofSeconds(10).toNanos();
 
-	private static final int MAXIMUM_DOUBLINGS = 6;
+	private static final int MAXIMUM_PROBE_DELAY_DOUBLINGS = 6;
 
 	private final LongSupplier monotonicNanos;
 
-	private final Map<WorkerId, Failures> failures = new HashMap<>();
+	private final Map<WorkerId, WorkerFailures> failuresByWorker = new HashMap<>();
 
-	private final Map<JobId, History> histories = new LinkedHashMap<>(16, 0.75f, true) {
+	private final Map<JobId, JobHistory> historyByJob = new LinkedHashMap<>(16, 0.75f, true) {
 
 		@Override
-		protected boolean removeEldestEntry(Map.Entry<JobId, History> eldest) {
-			return size() > MAXIMUM_JOBS;
+		protected boolean removeEldestEntry(Map.Entry<JobId, JobHistory> eldest) {
+			return size() > MAXIMUM_TRACKED_JOBS;
 		}
 
 	};
@@ -62,12 +62,12 @@
 	 * Take in how an attempt ended. Each end is to be told once.
 	 * @param event what its worker told
 	 */
-	void judge(AttemptEvent event) {
+	void recordOutcome(AttemptEvent event) {
 		if (event.kind() == AttemptEventKind.FAILED) {
-			failed(event.worker(), event.attempt().job());
+			recordFailure(event.worker(), event.attempt().job());
 		}
 		else if (event.kind() == AttemptEventKind.FINISHED) {
-			succeeded(event.worker(), event.attempt().job());
+			recordSuccess(event.worker(), event.attempt().job());
 		}
 	}
 
@@ -79,13 +79,13 @@
 	 * @param job the job
 	 * @return the worker, or empty if none has room
 	 */
-	Optional<Worker> choose(List<Worker> usable, ReservationRequest request, JobId job) {
+	Optional<Worker> chooseWorker(List<Worker> usable, ReservationRequest request, JobId job) {
 		if (request.startAtOnce() && request.kind() == WorkloadKind.BATCH) {
 			Optional<Worker> probed = usable.stream()
 				.filter((worker) -> isProbeDue(worker.id()) && worker.accepts(request.size()))
 				.findFirst();
 			if (probed.isPresent()) {
-				probe(probed.get().id());
+				scheduleNextProbe(probed.get().id());
 				return probed;
 			}
 		}
@@ -95,36 +95,37 @@
 		return policy.choose(job, request.size(), untried.isEmpty() ? sound : untried);
 	}
 
-	private void failed(WorkerId worker, JobId job) {
-		this.histories.computeIfAbsent(job, (id) -> new History()).failedOn.add(worker);
-		this.failures.computeIfAbsent(worker, (id) -> new Failures(this.monotonicNanos.getAsLong())).byJob.merge(job, 1,
-				Integer::sum);
+	private void recordFailure(WorkerId worker, JobId job) {
+		this.historyByJob.computeIfAbsent(job, (id) -> new JobHistory()).failedWorkers.add(worker);
+		this.failuresByWorker.computeIfAbsent(worker,
+				(id) -> new WorkerFailures(this.monotonicNanos.getAsLong())).countByJob
+			.merge(job, 1, Integer::sum);
 	}
 
-	private void succeeded(WorkerId worker, JobId job) {
-		History history = this.histories.computeIfAbsent(job, (id) -> new History());
-		history.ranWell = true;
-		history.failedOn.remove(worker);
-		this.failures.remove(worker);
+	private void recordSuccess(WorkerId worker, JobId job) {
+		JobHistory history = this.historyByJob.computeIfAbsent(job, (id) -> new JobHistory());
+		history.hasFinished = true;
+		history.failedWorkers.remove(worker);
+		this.failuresByWorker.remove(worker);
 	}
 
 	private boolean isOnProbation(WorkerId worker) {
-		Failures own = this.failures.get(worker);
+		WorkerFailures own = this.failuresByWorker.get(worker);
 		if (own == null) {
 			return false;
 		}
 		int counted = 0;
 		boolean jobsAreSound = false;
 		Set<JobId> jobs = new HashSet<>();
-		for (Map.Entry<JobId, Integer> entry : own.byJob.entrySet()) {
-			History history = this.histories.getOrDefault(entry.getKey(), new History());
+		for (Map.Entry<JobId, Integer> entry : own.countByJob.entrySet()) {
+			JobHistory history = this.historyByJob.getOrDefault(entry.getKey(), new JobHistory());
 			if (!history.isAtFault()) {
 				counted += entry.getValue();
 				jobs.add(entry.getKey());
-				jobsAreSound |= history.ranWell;
+				jobsAreSound |= history.hasFinished;
 			}
 		}
-		return counted >= FAILURES_IN_A_ROW && (jobsAreSound || jobs.size() > 1);
+		return counted >= PROBATION_FAILURE_THRESHOLD && (jobsAreSound || jobs.size() > 1);
 	}
 
 	/**
@@ -137,43 +138,44 @@
 	}
 
 	private boolean isProbeDue(WorkerId worker) {
-		return isOnProbation(worker) && this.monotonicNanos.getAsLong() - this.failures.get(worker).probeNanos >= 0;
+		return isOnProbation(worker)
+				&& this.monotonicNanos.getAsLong() - this.failuresByWorker.get(worker).nextProbeNanos >= 0;
 	}
 
-	private void probe(WorkerId worker) {
-		Failures own = this.failures.get(worker);
-		own.probeNanos = this.monotonicNanos.getAsLong()
-				+ (FIRST_PAUSE_NANOS << Math.min(own.probes, MAXIMUM_DOUBLINGS));
-		own.probes++;
+	private void scheduleNextProbe(WorkerId worker) {
+		WorkerFailures own = this.failuresByWorker.get(worker);
+		own.nextProbeNanos = this.monotonicNanos.getAsLong()
+				+ (INITIAL_PROBE_DELAY_NANOS << Math.min(own.probeCount, MAXIMUM_PROBE_DELAY_DOUBLINGS));
+		own.probeCount++;
 	}
 
 	private boolean hasFailedOn(JobId job, WorkerId worker) {
-		History history = this.histories.get(job);
-		return history != null && history.failedOn.contains(worker);
+		JobHistory history = this.historyByJob.get(job);
+		return history != null && history.failedWorkers.contains(worker);
 	}
 
-	private static final class Failures {
+	private static final class WorkerFailures {
 
-		private final Map<JobId, Integer> byJob = new HashMap<>();
+		private final Map<JobId, Integer> countByJob = new HashMap<>();
 
-		private long probeNanos;
+		private long nextProbeNanos;
 
-		private int probes;
+		private int probeCount;
 
-		Failures(long nowNanos) {
-			this.probeNanos = nowNanos + FIRST_PAUSE_NANOS;
+		WorkerFailures(long nowNanos) {
+			this.nextProbeNanos = nowNanos + INITIAL_PROBE_DELAY_NANOS;
 		}
 
 	}
 
-	private static final class History {
+	private static final class JobHistory {
 
-		private final Set<WorkerId> failedOn = new HashSet<>();
+		private final Set<WorkerId> failedWorkers = new HashSet<>();
 
-		private boolean ranWell;
+		private boolean hasFinished;
 
 		boolean isAtFault() {
-			return !this.ranWell && this.failedOn.size() >= WORKERS_THAT_CLEAR;
+			return !this.hasFinished && this.failedWorkers.size() >= JOB_FAULT_WORKER_THRESHOLD;
 		}
 
 	}
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/routing/AttemptResult.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/routing/AttemptResult.java
@@ -16,7 +16,7 @@
 	 * @param headers the headers
 	 * @param body the whole body
 	 */
-	record Whole(int status, List<HeaderLine> headers, byte[] body) implements AttemptResult {
+	record Answered(int status, List<HeaderLine> headers, byte[] body) implements AttemptResult {
 
 	}
 
@@ -44,7 +44,7 @@
 	 * @param timedOut whether time ran out, otherwise the connection broke
 	 * @param detail what went wrong
 	 */
-	record Broken(boolean timedOut, String detail) implements AttemptResult {
+	record Incomplete(boolean timedOut, String detail) implements AttemptResult {
 
 	}
 
@@ -55,7 +55,7 @@
 	 *
 	 * @param detail what went wrong
 	 */
-	record Silent(String detail) implements AttemptResult {
+	record StaleConnection(String detail) implements AttemptResult {
 
 	}
 
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/routing/BackendPool.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/routing/BackendPool.java
@@ -24,17 +24,17 @@
 
 	private static final int SERVER_ERROR = 500;
 
-	private final int slotsEach;
+	private final int slotsPerServer;
 
 	private final String ownFailureDomain;
 
 	private final InstantSource clock;
 
-	private final ServerChoice choice;
+	private final ServerSelector serverSelector;
 
-	private final RefusalPause pause;
+	private final RefusalBackoff refusalBackoff;
 
-	private final RetryBudget refusals;
+	private final RetryBudget refusalBudget;
 
 	private final Map<HostAddress, BackendServer> servers = new LinkedHashMap<>();
 
@@ -48,7 +48,7 @@
 	 * @param random decides between servers that are alike
 	 */
 	public BackendPool(int slotsEach, String ownFailureDomain, InstantSource clock, UniformRandomProvider random) {
-		this(slotsEach, ownFailureDomain, clock, new LeastExpectedLoadChoice(random), RefusalPause.DEFAULT);
+		this(slotsEach, ownFailureDomain, clock, new LeastExpectedLoadSelector(random), RefusalBackoff.DEFAULT);
 	}
 
 	/**
@@ -59,14 +59,14 @@
 	 * @param choice chooses among the servers
 	 * @param pause what happens after a server refused as full
 	 */
-	public BackendPool(int slotsEach, String ownFailureDomain, InstantSource clock, ServerChoice choice,
-			RefusalPause pause) {
-		this.slotsEach = slotsEach;
+	public BackendPool(int slotsEach, String ownFailureDomain, InstantSource clock, ServerSelector choice,
+			RefusalBackoff pause) {
+		this.slotsPerServer = slotsEach;
 		this.ownFailureDomain = ownFailureDomain;
 		this.clock = clock;
-		this.choice = choice;
-		this.pause = pause;
-		this.refusals = pause.budget();
+		this.serverSelector = choice;
+		this.refusalBackoff = pause;
+		this.refusalBudget = pause.createBudget();
 	}
 
 	/**
@@ -82,7 +82,7 @@
 				this.servers.put(host.address(), new BackendServer(host, this.ownFailureDomain));
 			}
 			else {
-				present.listed(host.state());
+				present.updateState(host.state());
 			}
 		}
 	}
@@ -94,24 +94,24 @@
 	 */
 	public synchronized Optional<BackendSlot> acquire(Set<HostAddress> tried) {
 		Instant now = this.clock.instant();
-		List<BackendServer> able = candidates(now).stream()
-			.filter((server) -> !tried.contains(server.address()) && server.hasRoom(now, this.slotsEach))
+		List<BackendServer> able = candidateServers(now).stream()
+			.filter((server) -> !tried.contains(server.address()) && server.hasFreeSlot(now, this.slotsPerServer))
 			.toList();
-		return this.choice.choose(able, now).map(this::begin);
+		return this.serverSelector.select(able, now).map(this::occupySlot);
 	}
 
-	private List<BackendServer> candidates(Instant now) {
-		List<BackendServer> staying = staying();
+	private List<BackendServer> candidateServers(Instant now) {
+		List<BackendServer> staying = activeServers();
 		List<BackendServer> healthy = staying.stream().filter((server) -> !server.isEjected(now)).toList();
 		return (healthy.size() * 2 >= staying.size()) ? healthy : staying;
 	}
 
-	private List<BackendServer> staying() {
+	private List<BackendServer> activeServers() {
 		return this.servers.values().stream().filter((server) -> !server.isLeaving()).toList();
 	}
 
-	private BackendSlot begin(BackendServer chosen) {
-		chosen.begin();
+	private BackendSlot occupySlot(BackendServer chosen) {
+		chosen.occupySlot();
 		this.inFlight++;
 		return new BackendSlot(chosen);
 	}
@@ -123,34 +123,35 @@
 	 */
 	public synchronized void release(BackendSlot slot, AttemptResult result) {
 		BackendServer server = slot.server();
-		server.end();
+		server.freeSlot();
 		this.inFlight--;
 		Instant now = this.clock.instant();
-		if (result instanceof AttemptResult.Whole whole) {
-			this.refusals.request();
-			server.answered(now);
+		if (result instanceof AttemptResult.Answered whole) {
+			this.refusalBudget.recordRequest();
+			server.recordAnswer(now);
 			if (whole.status() < SERVER_ERROR) {
-				server.succeeded();
+				server.recordSuccess();
 			}
-			else if (server.answeredWithError() && mayEject(now)) {
+			else if (server.recordServerError() && canEject(now)) {
 				server.eject(now);
 			}
 		}
 		else if (result instanceof AttemptResult.Refused refused) {
 			if (refused.leaving()) {
-				server.leave();
+				server.markLeaving();
 			}
 			else {
-				server.refused(now, this.refusals.tryRetry() ? this.pause.brief() : this.pause.overloaded());
+				server.recordRefusal(now, this.refusalBudget.tryAcquire() ? this.refusalBackoff.normalDelay()
+						: this.refusalBackoff.overloadDelay());
 			}
 		}
-		else if (!(result instanceof AttemptResult.Silent) && server.failed() && mayEject(now)) {
+		else if (!(result instanceof AttemptResult.StaleConnection) && server.recordFailure() && canEject(now)) {
 			server.eject(now);
 		}
 	}
 
-	private boolean mayEject(Instant now) {
-		List<BackendServer> staying = staying();
+	private boolean canEject(Instant now) {
+		List<BackendServer> staying = activeServers();
 		long ejected = staying.stream().filter((server) -> server.isEjected(now)).count();
 		return (ejected + 1) * 2 <= staying.size();
 	}
@@ -163,14 +164,14 @@
 		this.servers.values()
 			.stream()
 			.filter((server) -> incarnations.contains(server.incarnation()))
-			.forEach(BackendServer::leave);
+			.forEach(BackendServer::markLeaving);
 	}
 
 	/**
 	 * The servers that are leaving, by whichever word came first.
 	 * @return their incarnations
 	 */
-	public synchronized Set<String> leaving() {
+	public synchronized Set<String> leavingIncarnations() {
 		return this.servers.values()
 			.stream()
 			.filter(BackendServer::isLeaving)
@@ -182,7 +183,7 @@
 	 * Tell whether any server may be given work, now or when a slot comes free.
 	 * @return {@code false} if none is listed or all are leaving
 	 */
-	public synchronized boolean hasServers() {
+	public synchronized boolean hasActiveServers() {
 		return this.servers.values().stream().anyMatch((server) -> !server.isLeaving());
 	}
 
@@ -192,16 +193,16 @@
 	 * @return {@code false} if each server that is neither leaving nor ejected has been
 	 * tried
 	 */
-	public synchronized boolean hasUntried(Set<HostAddress> tried) {
-		return candidates(this.clock.instant()).stream().anyMatch((server) -> !tried.contains(server.address()));
+	public synchronized boolean hasUntriedServer(Set<HostAddress> tried) {
+		return candidateServers(this.clock.instant()).stream().anyMatch((server) -> !tried.contains(server.address()));
 	}
 
 	/**
 	 * Number of slots this gateway may use at most.
 	 * @return the count
 	 */
-	public synchronized int capacity() {
-		return staying().size() * this.slotsEach;
+	public synchronized int slotCapacity() {
+		return activeServers().size() * this.slotsPerServer;
 	}
 
 	/**
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/routing/BackendServer.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/routing/BackendServer.java
@@ -14,62 +14,62 @@
  */
 final class BackendServer implements ServerLoad {
 
-	private static final int FAILURES_TO_EJECT = 3;
+	private static final int EJECTION_FAILURE_THRESHOLD = 3;
 
 	/** More than failures, since an error may be due to the requests. */
-	private static final int ERRORS_TO_EJECT = 10;
+	private static final int EJECTION_ERROR_THRESHOLD = 10;
 
-	private static final Duration FIRST_EJECTION = Duration.ofSeconds(1);
+	private static final Duration INITIAL_EJECTION_DURATION = Duration.ofSeconds(1);
 
-	private static final int MAXIMUM_DOUBLINGS = 4;
+	private static final int MAXIMUM_EJECTION_DOUBLINGS = 4;
 
 	/** After an ejection, one slot more is used each time this has passed. */
-	private static final Duration RETURN_STEP = Duration.ofMillis(500);
+	private static final Duration SLOT_RECOVERY_INTERVAL = Duration.ofMillis(500);
 
 	private final String incarnation;
 
 	private final HostAddress address;
 
-	private final boolean near;
+	private final boolean inSameFailureDomain;
 
 	private int inFlight;
 
-	private int failuresInARow;
+	private int consecutiveFailures;
 
-	private int errorsInARow;
+	private int consecutiveErrors;
 
 	private int ejections;
 
 	private Instant ejectedUntil = Instant.MIN;
 
-	private Instant refusedAt = Instant.MIN;
+	private Instant lastRefusedAt = Instant.MIN;
 
-	private Instant pausedUntil = Instant.MIN;
+	private Instant backoffUntil = Instant.MIN;
 
-	private int refusedInFlight;
+	private int inFlightAtRefusal;
 
-	private Instant freedAt = Instant.MIN;
+	private Instant slotFreedAt = Instant.MIN;
 
 	private boolean leaving;
 
 	BackendServer(Host host, String ownFailureDomain) {
 		this.incarnation = host.incarnation();
 		this.address = host.address();
-		this.near = host.failureDomain().equals(ownFailureDomain);
+		this.inSameFailureDomain = host.failureDomain().equals(ownFailureDomain);
 		this.leaving = host.state() == HostState.LEAVING;
 	}
 
-	void listed(HostState state) {
+	void updateState(HostState state) {
 		this.leaving |= state == HostState.LEAVING;
 	}
 
-	void answered(Instant now) {
-		this.freedAt = now;
-		this.failuresInARow = 0;
+	void recordAnswer(Instant now) {
+		this.slotFreedAt = now;
+		this.consecutiveFailures = 0;
 	}
 
-	void succeeded() {
-		this.errorsInARow = 0;
+	void recordSuccess() {
+		this.consecutiveErrors = 0;
 		this.ejections = 0;
 	}
 
@@ -78,36 +78,36 @@
 	 * @return {@code true} if the server has answered nothing else often enough to be
 	 * ejected
 	 */
-	boolean answeredWithError() {
-		this.errorsInARow++;
-		return this.errorsInARow >= ERRORS_TO_EJECT;
+	boolean recordServerError() {
+		this.consecutiveErrors++;
+		return this.consecutiveErrors >= EJECTION_ERROR_THRESHOLD;
 	}
 
 	/**
 	 * Count a failed attempt.
 	 * @return {@code true} if the server has failed often enough to be ejected
 	 */
-	boolean failed() {
-		this.failuresInARow++;
-		return this.failuresInARow >= FAILURES_TO_EJECT;
+	boolean recordFailure() {
+		this.consecutiveFailures++;
+		return this.consecutiveFailures >= EJECTION_FAILURE_THRESHOLD;
 	}
 
 	void eject(Instant now) {
-		int doublings = Math.min(this.ejections, MAXIMUM_DOUBLINGS);
-		this.ejectedUntil = now.plus(FIRST_EJECTION.multipliedBy(1L << doublings));
+		int doublings = Math.min(this.ejections, MAXIMUM_EJECTION_DOUBLINGS);
+		this.ejectedUntil = now.plus(INITIAL_EJECTION_DURATION.multipliedBy(1L << doublings));
 		this.ejections++;
 		// The first failure or error after its return ejects it again.
-		this.failuresInARow = FAILURES_TO_EJECT - 1;
-		this.errorsInARow = ERRORS_TO_EJECT - 1;
+		this.consecutiveFailures = EJECTION_FAILURE_THRESHOLD - 1;
+		this.consecutiveErrors = EJECTION_ERROR_THRESHOLD - 1;
 	}
 
-	void refused(Instant now, Duration pause) {
-		this.refusedAt = now;
-		this.pausedUntil = now.plus(pause);
-		this.refusedInFlight = this.inFlight;
+	void recordRefusal(Instant now, Duration pause) {
+		this.lastRefusedAt = now;
+		this.backoffUntil = now.plus(pause);
+		this.inFlightAtRefusal = this.inFlight;
 	}
 
-	void leave() {
+	void markLeaving() {
 		this.leaving = true;
 	}
 
@@ -122,19 +122,19 @@
 	 * @param most slots of the server that this gateway may use at most
 	 * @return {@code true} if it may
 	 */
-	boolean hasRoom(Instant now, int most) {
-		int room = Math.min(most, returned(now));
-		if (now.isBefore(this.pausedUntil)) {
-			room = Math.min(room, this.refusedInFlight);
+	boolean hasFreeSlot(Instant now, int most) {
+		int room = Math.min(most, slotsAfterEjection(now));
+		if (now.isBefore(this.backoffUntil)) {
+			room = Math.min(room, this.inFlightAtRefusal);
 		}
 		return this.inFlight < room;
 	}
 
-	private int returned(Instant now) {
+	private int slotsAfterEjection(Instant now) {
 		if (this.ejectedUntil.equals(Instant.MIN)) {
 			return Integer.MAX_VALUE;
 		}
-		long steps = Duration.between(this.ejectedUntil, now).dividedBy(RETURN_STEP);
+		long steps = Duration.between(this.ejectedUntil, now).dividedBy(SLOT_RECOVERY_INTERVAL);
 		return (int) Math.min(Integer.MAX_VALUE, 1 + Math.max(0, steps));
 	}
 
@@ -142,12 +142,12 @@
 		return this.leaving;
 	}
 
-	void begin() {
+	void occupySlot() {
 		this.inFlight++;
-		this.freedAt = Instant.MIN;
+		this.slotFreedAt = Instant.MIN;
 	}
 
-	void end() {
+	void freeSlot() {
 		this.inFlight--;
 	}
 
@@ -165,18 +165,18 @@
 	}
 
 	@Override
-	public boolean isNear() {
-		return this.near;
+	public boolean isInSameFailureDomain() {
+		return this.inSameFailureDomain;
 	}
 
 	@Override
-	public Instant refusedAt() {
-		return this.refusedAt;
+	public Instant lastRefusedAt() {
+		return this.lastRefusedAt;
 	}
 
 	@Override
-	public Instant freedAt() {
-		return this.freedAt;
+	public Instant slotFreedAt() {
+		return this.slotFreedAt;
 	}
 
 }
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/routing/LeastExpectedLoadChoice.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/routing/LeastExpectedLoadSelector.java
@@ -14,15 +14,15 @@
  * one less just after an answer, which frees a slot, and a part of one more in another
  * failure domain, so that load spills there before the own one is full. Not thread-safe.
  */
-public final class LeastExpectedLoadChoice implements ServerChoice {
+public final class LeastExpectedLoadSelector implements ServerSelector {
 
-	private static final double DISTANCE = 0.3;
+	private static final double OTHER_DOMAIN_PENALTY_REQUESTS = 0.3;
 
-	private static final double REFUSAL_MEMORY_NANOS = 10e6;
+	private static final double REFUSAL_DECAY_NANOS = 10e6;
 
-	private static final Duration FREED = Duration.ofMillis(2);
+	private static final Duration FREED_SLOT_WINDOW = Duration.ofMillis(2);
 
-	private static final double TIE = 0.01;
+	private static final double TIE_BREAKER_REQUESTS = 0.01;
 
 	private final UniformRandomProvider random;
 
@@ -30,30 +30,31 @@
 	 * Create a choice.
 	 * @param random decides between servers that are alike
 	 */
-	public LeastExpectedLoadChoice(UniformRandomProvider random) {
+	public LeastExpectedLoadSelector(UniformRandomProvider random) {
 		this.random = random;
 	}
 
 	@Override
-	public <S extends ServerLoad> Optional<S> choose(List<S> able, Instant now) {
+	public <S extends ServerLoad> Optional<S> select(List<S> able, Instant now) {
 		return able.stream()
-			.map((server) -> new Scored<>(server, expected(server, now) + TIE * this.random.nextDouble()))
+			.map((server) -> new Scored<>(server,
+					expectedLoad(server, now) + TIE_BREAKER_REQUESTS * this.random.nextDouble()))
 			.min(Comparator.comparingDouble(Scored::load))
 			.map(Scored::server);
 	}
 
-	private static double expected(ServerLoad server, Instant now) {
+	private static double expectedLoad(ServerLoad server, Instant now) {
 		double load = server.inFlight();
-		if (!server.isNear()) {
-			load += DISTANCE;
+		if (!server.isInSameFailureDomain()) {
+			load += OTHER_DOMAIN_PENALTY_REQUESTS;
 		}
-		if (server.freedAt().isAfter(now.minus(FREED))) {
+		if (server.slotFreedAt().isAfter(now.minus(FREED_SLOT_WINDOW))) {
 			load--;
 		}
-		if (server.refusedAt().equals(Instant.MIN)) {
+		if (server.lastRefusedAt().equals(Instant.MIN)) {
 			return load;
 		}
-		return load + Math.exp(-Duration.between(server.refusedAt(), now).toNanos() / REFUSAL_MEMORY_NANOS);
+		return load + Math.exp(-Duration.between(server.lastRefusedAt(), now).toNanos() / REFUSAL_DECAY_NANOS);
 	}
 
 	private record Scored<S>(S server, double load) {
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/routing/WaitingRequest.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/routing/PendingRequest.java
@@ -12,12 +12,12 @@
  * A request on its way, with the servers it has tried. Its outcome completes once. Each
  * field is used by one attempt at a time.
  */
-final class WaitingRequest {
+final class PendingRequest {
 
-	static final Comparator<WaitingRequest> ORDER = Comparator
-		.comparing((WaitingRequest waiting) -> waiting.request().operation().trafficClass())
+	static final Comparator<PendingRequest> DISPATCH_ORDER = Comparator
+		.comparing((PendingRequest waiting) -> waiting.request().operation().trafficClass())
 		.thenComparing((waiting) -> waiting.request().deadline())
-		.thenComparingLong(WaitingRequest::sequence);
+		.thenComparingLong(PendingRequest::sequence);
 
 	private final ForwardedRequest request;
 
@@ -25,13 +25,13 @@
 
 	private final CompletableFuture<RequestOutcome> outcome = new CompletableFuture<>();
 
-	private final Set<HostAddress> tried = new HashSet<>();
+	private final Set<HostAddress> triedServers = new HashSet<>();
 
-	private volatile boolean sent;
+	private volatile boolean attempted;
 
 	private volatile boolean mayHaveRun;
 
-	WaitingRequest(ForwardedRequest request, long sequence) {
+	PendingRequest(ForwardedRequest request, long sequence) {
 		this.request = request;
 		this.sequence = sequence;
 	}
@@ -52,9 +52,9 @@
 	 * Note that an attempt begins.
 	 * @return {@code true} for the first one
 	 */
-	boolean beginAttempt() {
-		boolean first = !this.sent;
-		this.sent = true;
+	boolean markAttempted() {
+		boolean first = !this.attempted;
+		this.attempted = true;
 		return first;
 	}
 
@@ -66,8 +66,8 @@
 		return this.mayHaveRun;
 	}
 
-	Set<HostAddress> tried() {
-		return this.tried;
+	Set<HostAddress> triedServers() {
+		return this.triedServers;
 	}
 
 }
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/routing/RefusalPause.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/routing/RefusalBackoff.java
@@ -12,14 +12,15 @@
  * @param refusalsPerAnswer refusals that each answer adds to the budget
  * @param reserve refusals that the budget holds at most
  */
-public record RefusalPause(Duration brief, Duration overloaded, double refusalsPerAnswer, double reserve) {
+public record RefusalBackoff(Duration normalDelay, Duration overloadDelay, double refusalsPerAnswer,
+		double maximumBudget) {
 
 	/** What the gateways use. */
-	public static final RefusalPause DEFAULT = new RefusalPause(Duration.ofMillis(2), Duration.ofMillis(150), 0.6,
+	public static final RefusalBackoff DEFAULT = new RefusalBackoff(Duration.ofMillis(2), Duration.ofMillis(150), 0.6,
 			1000);
 
-	RetryBudget budget() {
-		return new RetryBudget(this.refusalsPerAnswer, this.reserve);
+	RetryBudget createBudget() {
+		return new RetryBudget(this.refusalsPerAnswer, this.maximumBudget);
 	}
 
 }
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/routing/RetryBudget.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/routing/RetryBudget.java
@@ -8,9 +8,9 @@
  */
 public final class RetryBudget {
 
-	private final double share;
+	private final double retriesPerRequest;
 
-	private final double reserve;
+	private final double capacity;
 
 	private double tokens;
 
@@ -20,23 +20,23 @@
 	 * @param reserve the most retries that can be saved up
 	 */
 	public RetryBudget(double share, double reserve) {
-		this.share = share;
-		this.reserve = reserve;
+		this.retriesPerRequest = share;
+		this.capacity = reserve;
 		this.tokens = reserve;
 	}
 
 	/**
 	 * A request has come in.
 	 */
-	public synchronized void request() {
-		this.tokens = Math.min(this.reserve, this.tokens + this.share);
+	public synchronized void recordRequest() {
+		this.tokens = Math.min(this.capacity, this.tokens + this.retriesPerRequest);
 	}
 
 	/**
 	 * Ask for a retry.
 	 * @return {@code true} if the budget allows it
 	 */
-	public synchronized boolean tryRetry() {
+	public synchronized boolean tryAcquire() {
 		if (this.tokens < 1) {
 			return false;
 		}
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/routing/ServerLoad.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/routing/ServerLoad.java
@@ -18,19 +18,19 @@
 	 * Tell whether the server stands in the gateway's own failure domain.
 	 * @return {@code true} if it does
 	 */
-	boolean isNear();
+	boolean isInSameFailureDomain();
 
 	/**
 	 * When the server last refused a request because it was full.
 	 * @return the time, {@link Instant#MIN} if it never has
 	 */
-	Instant refusedAt();
+	Instant lastRefusedAt();
 
 	/**
 	 * When the server last answered, if it has been given no request since: one of its
 	 * slots was free then.
 	 * @return the time, otherwise {@link Instant#MIN}
 	 */
-	Instant freedAt();
+	Instant slotFreedAt();
 
 }
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/routing/ServerChoice.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/routing/ServerSelector.java
@@ -8,7 +8,7 @@
  * Chooses the backend server that a request is sent to. Called under the lock of a pool,
  * so implementations need not be thread-safe, but each belongs to one pool.
  */
-public interface ServerChoice {
+public interface ServerSelector {
 
 	/**
 	 * Choose a server.
@@ -17,6 +17,6 @@
 	 * @param now the present time
 	 * @return the server, or empty if the request had better wait
 	 */
-	<S extends ServerLoad> Optional<S> choose(List<S> able, Instant now);
+	<S extends ServerLoad> Optional<S> select(List<S> able, Instant now);
 
 }
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/routing/ServiceRouter.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/routing/ServiceRouter.java
@@ -31,28 +31,28 @@
 
 	private final BackendClient client;
 
-	private final RetryBudget retries;
+	private final RetryBudget retryBudget;
 
 	private final InstantSource clock;
 
 	private final int maximumWaiting;
 
-	private final Duration attemptLimit;
+	private final Duration attemptTimeout;
 
-	private final WaitEstimate estimate = new WaitEstimate();
+	private final WaitTimeEstimator waitTimeEstimator = new WaitTimeEstimator();
 
-	private final AtomicLong sequence = new AtomicLong();
+	private final AtomicLong lastSequence = new AtomicLong();
 
-	private final TreeSet<WaitingRequest> waiting = new TreeSet<>(WaitingRequest.ORDER);
+	private final TreeSet<PendingRequest> waitingRequests = new TreeSet<>(PendingRequest.DISPATCH_ORDER);
 
 	public ServiceRouter(BackendPool pool, BackendClient client, RetryBudget retries, InstantSource clock,
 			int maximumWaiting, Duration attemptLimit) {
 		this.pool = pool;
 		this.client = client;
-		this.retries = retries;
+		this.retryBudget = retries;
 		this.clock = clock;
 		this.maximumWaiting = maximumWaiting;
-		this.attemptLimit = attemptLimit;
+		this.attemptTimeout = attemptLimit;
 	}
 
 	/**
@@ -61,45 +61,45 @@
 	 * @return its outcome; never fails
 	 */
 	public CompletableFuture<RequestOutcome> route(ForwardedRequest request) {
-		WaitingRequest arrived = new WaitingRequest(request, this.sequence.incrementAndGet());
+		PendingRequest arrived = new PendingRequest(request, this.lastSequence.incrementAndGet());
 		if (!this.clock.instant().isBefore(request.deadline())) {
-			refuse(arrived, NotRunReason.DEADLINE);
+			completeUnanswered(arrived, NotRunReason.DEADLINE);
 		}
-		else if (!this.pool.hasServers()) {
-			refuse(arrived, NotRunReason.NO_BACKEND_SERVER);
+		else if (!this.pool.hasActiveServers()) {
+			completeUnanswered(arrived, NotRunReason.NO_BACKEND_SERVER);
 		}
-		else if (isTooLate(arrived)) {
-			refuse(arrived, NotRunReason.OVERLOAD);
+		else if (wouldMissDeadline(arrived)) {
+			completeUnanswered(arrived, NotRunReason.OVERLOAD);
 		}
 		else {
 			enqueue(arrived);
-			dispatch();
+			dispatchWaiting();
 		}
 		return arrived.outcome();
 	}
 
-	private synchronized boolean isTooLate(WaitingRequest arrived) {
-		if (this.waiting.isEmpty()) {
+	private synchronized boolean wouldMissDeadline(PendingRequest arrived) {
+		if (this.waitingRequests.isEmpty()) {
 			return false;
 		}
-		int ahead = this.waiting.headSet(arrived).size();
-		Duration wait = this.estimate.wait(ahead, this.pool.inFlight());
+		int ahead = this.waitingRequests.headSet(arrived).size();
+		Duration wait = this.waitTimeEstimator.estimateWait(ahead, this.pool.inFlight());
 		return !this.clock.instant().plus(wait).isBefore(arrived.request().deadline());
 	}
 
-	private synchronized void enqueue(WaitingRequest arrived) {
-		this.waiting.add(arrived);
+	private synchronized void enqueue(PendingRequest arrived) {
+		this.waitingRequests.add(arrived);
 	}
 
 	/**
 	 * Refuse requests whose deadline has come while they waited, and give free slots to
 	 * the others. To be called regularly.
 	 */
-	public void expire() {
+	public void refuseExpired() {
 		Instant now = this.clock.instant();
-		List<WaitingRequest> late = new ArrayList<>();
+		List<PendingRequest> late = new ArrayList<>();
 		synchronized (this) {
-			this.waiting.removeIf((entry) -> {
+			this.waitingRequests.removeIf((entry) -> {
 				boolean isLate = !now.isBefore(entry.request().deadline());
 				if (isLate) {
 					late.add(entry);
@@ -107,61 +107,62 @@
 				return isLate;
 			});
 		}
-		late.forEach((entry) -> refuse(entry, NotRunReason.DEADLINE));
-		dispatch();
+		late.forEach((entry) -> completeUnanswered(entry, NotRunReason.DEADLINE));
+		dispatchWaiting();
 	}
 
-	private void dispatch() {
-		Optional<Dispatched> next = next();
+	private void dispatchWaiting() {
+		Optional<Dispatch> next = nextDispatch();
 		while (next.isPresent()) {
-			attempt(next.get().request(), next.get().slot());
-			next = next();
+			startAttempt(next.get().request(), next.get().slot());
+			next = nextDispatch();
 		}
-		surplus().ifPresent((shed) -> refuse(shed, NotRunReason.OVERLOAD));
+		pollSurplus().ifPresent((shed) -> completeUnanswered(shed, NotRunReason.OVERLOAD));
 	}
 
-	private synchronized Optional<WaitingRequest> surplus() {
-		return (this.waiting.size() > this.maximumWaiting) ? Optional.of(this.waiting.pollLast()) : Optional.empty();
+	private synchronized Optional<PendingRequest> pollSurplus() {
+		return (this.waitingRequests.size() > this.maximumWaiting) ? Optional.of(this.waitingRequests.pollLast())
+				: Optional.empty();
 	}
 
-	private synchronized Optional<Dispatched> next() {
-		for (WaitingRequest candidate : this.waiting) {
-			Optional<BackendSlot> slot = this.pool.acquire(candidate.tried());
-			if (slot.isEmpty() && !this.pool.hasUntried(candidate.tried())) {
-				candidate.tried().clear();
-				slot = this.pool.acquire(candidate.tried());
+	private synchronized Optional<Dispatch> nextDispatch() {
+		for (PendingRequest candidate : this.waitingRequests) {
+			Optional<BackendSlot> slot = this.pool.acquire(candidate.triedServers());
+			if (slot.isEmpty() && !this.pool.hasUntriedServer(candidate.triedServers())) {
+				candidate.triedServers().clear();
+				slot = this.pool.acquire(candidate.triedServers());
 			}
 			if (slot.isPresent()) {
-				this.waiting.remove(candidate);
-				return Optional.of(new Dispatched(candidate, slot.get()));
+				this.waitingRequests.remove(candidate);
+				return Optional.of(new Dispatch(candidate, slot.get()));
 			}
-			if (candidate.tried().isEmpty()) {
+			if (candidate.triedServers().isEmpty()) {
 				return Optional.empty();
 			}
 		}
 		return Optional.empty();
 	}
 
-	private void attempt(WaitingRequest waitingRequest, BackendSlot slot) {
-		if (waitingRequest.beginAttempt()) {
-			this.retries.request();
+	private void startAttempt(PendingRequest waitingRequest, BackendSlot slot) {
+		if (waitingRequest.markAttempted()) {
+			this.retryBudget.recordRequest();
 		}
 		Instant begun = this.clock.instant();
 		send(waitingRequest.request(), slot.address(), begun).whenComplete((result, failure) -> {
 			AttemptResult ended = (result != null) ? result
-					: new AttemptResult.Broken(false, String.valueOf(failure.getMessage()));
+					: new AttemptResult.Incomplete(false, String.valueOf(failure.getMessage()));
 			this.pool.release(slot, ended);
-			if (ended instanceof AttemptResult.Whole) {
-				this.estimate.answered(Duration.between(begun, this.clock.instant()));
+			if (ended instanceof AttemptResult.Answered) {
+				this.waitTimeEstimator.recordResponseTime(Duration.between(begun, this.clock.instant()));
 			}
-			waitingRequest.tried().add(slot.address());
-			conclude(waitingRequest, ended);
-			dispatch();
+			waitingRequest.triedServers().add(slot.address());
+			handleResult(waitingRequest, ended);
+			dispatchWaiting();
 		});
 	}
 
 	private CompletableFuture<AttemptResult> send(ForwardedRequest request, HostAddress server, Instant begun) {
-		Instant limit = begun.plus(this.attemptLimit);
+		Instant limit = begun.plus(this.attemptTimeout);
 		boolean canRepeat = request.operation().repeatable() && limit.isBefore(request.deadline());
 		try {
 			return this.client.send(server, request, canRepeat ? limit : request.deadline());
@@ -171,29 +172,29 @@
 		}
 	}
 
-	private void conclude(WaitingRequest ended, AttemptResult result) {
-		if (result instanceof AttemptResult.Whole whole) {
+	private void handleResult(PendingRequest ended, AttemptResult result) {
+		if (result instanceof AttemptResult.Answered whole) {
 			ended.outcome().complete(new RequestOutcome.Answered(whole.status(), whole.headers(), whole.body()));
 			return;
 		}
-		boolean silent = result instanceof AttemptResult.Silent;
-		if (silent || result instanceof AttemptResult.Broken) {
+		boolean silent = result instanceof AttemptResult.StaleConnection;
+		if (silent || result instanceof AttemptResult.Incomplete) {
 			ended.markMayHaveRun();
 		}
 		boolean mayGoOn = !ended.mayHaveRun() || ended.request().operation().repeatable();
 		boolean inTime = this.clock.instant().isBefore(ended.request().deadline());
 		boolean refusedByServer = result instanceof AttemptResult.Refused;
-		if (mayGoOn && inTime && (refusedByServer || silent || this.retries.tryRetry())) {
+		if (mayGoOn && inTime && (refusedByServer || silent || this.retryBudget.tryAcquire())) {
 			if (refusedByServer) {
-				ended.tried().clear();
+				ended.triedServers().clear();
 			}
 			enqueue(ended);
 			return;
 		}
-		refuse(ended, inTime ? NotRunReason.NO_BACKEND_SERVER : NotRunReason.DEADLINE);
+		completeUnanswered(ended, inTime ? NotRunReason.NO_BACKEND_SERVER : NotRunReason.DEADLINE);
 	}
 
-	private void refuse(WaitingRequest refused, NotRunReason reason) {
+	private void completeUnanswered(PendingRequest refused, NotRunReason reason) {
 		if (refused.mayHaveRun()) {
 			refused.outcome().complete(new RequestOutcome.Unknown("an attempt was sent and brought no whole answer"));
 			return;
@@ -203,7 +204,7 @@
 
 	private Duration retryAfter() {
 		// The time until a slot is free for a request that comes last.
-		Duration wait = this.estimate.wait(waiting(), this.pool.inFlight());
+		Duration wait = this.waitTimeEstimator.estimateWait(waitingCount(), this.pool.inFlight());
 		if (wait.compareTo(MINIMUM_RETRY_AFTER) < 0) {
 			return MINIMUM_RETRY_AFTER;
 		}
@@ -214,8 +215,8 @@
 	 * Number of requests that wait for a slot.
 	 * @return the count
 	 */
-	public synchronized int waiting() {
-		return this.waiting.size();
+	public synchronized int waitingCount() {
+		return this.waitingRequests.size();
 	}
 
 	/**
@@ -234,7 +235,7 @@
 		return this.pool;
 	}
 
-	private record Dispatched(WaitingRequest request, BackendSlot slot) {
+	private record Dispatch(PendingRequest request, BackendSlot slot) {
 
 	}
 
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/routing/WaitEstimate.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/routing/WaitTimeEstimator.java
@@ -7,15 +7,16 @@
  * lately and the number of slots that are in use. Before the first answer it expects no
  * wait. Thread-safe.
  */
-final class WaitEstimate {
+final class WaitTimeEstimator {
 
-	private static final double WEIGHT = 0.05;
+	private static final double SMOOTHING_FACTOR = 0.05;
 
-	private double meanNanos;
+	private double meanResponseNanos;
 
-	synchronized void answered(Duration took) {
+	synchronized void recordResponseTime(Duration took) {
 		double nanos = Math.max(0, took.toNanos());
-		this.meanNanos = (this.meanNanos != 0) ? this.meanNanos + WEIGHT * (nanos - this.meanNanos) : nanos;
+		this.meanResponseNanos = (this.meanResponseNanos != 0)
+				? this.meanResponseNanos + SMOOTHING_FACTOR * (nanos - this.meanResponseNanos) : nanos;
 	}
 
 	/**
@@ -24,8 +25,8 @@
 	 * @param slots number of slots in use
 	 * @return the expected wait
 	 */
-	synchronized Duration wait(int ahead, int slots) {
-		return Duration.ofNanos((long) ((ahead + 1) * this.meanNanos / Math.max(1, slots)));
+	synchronized Duration estimateWait(int ahead, int slots) {
+		return Duration.ofNanos((long) ((ahead + 1) * this.meanResponseNanos / Math.max(1, slots)));
 	}
 
 }
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/fakes/FakeScheduler.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/fakes/FakeScheduler.java
@@ -105,7 +105,7 @@
 	 * All that a scheduler does in a second, at the present time.
 	 */
 	public void work() {
-		this.reached.racks.heartbeat();
+		this.reached.racks.sendHeartbeats();
 		this.reached.control.drain();
 		for (int tick = 0; tick < 4; tick++) {
 			tick();
@@ -120,14 +120,14 @@
 		this.directory.update("owner", this.reached.racks.summaries());
 		this.queues.tick();
 		this.control.drain();
-		this.reached.racks.sendOrders();
+		this.reached.racks.sendUrgentCommands();
 		this.reached.control.drain();
 		deliver(this.reached.racks);
 		this.control.drain();
 	}
 
 	private void deliver(RackManager from) {
-		from.events().forEach((team, events) -> {
+		from.unacknowledgedEvents().forEach((team, events) -> {
 			if (this.queues.teams().contains(team)) {
 				List<AttemptEvent> copy = List.copyOf(events);
 				copy.forEach((event) -> this.queues.take(event, team, from::acknowledge));
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/idempotency/FakeTable.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/idempotency/FakeTable.java
@@ -27,7 +27,7 @@
 
 	private Supplier<Fault> faults = () -> Fault.NONE;
 
-	private List<ConditionalWrite> held = List.of();
+	private List<ConditionalWrite> heldWrites = List.of();
 
 	private long version;
 
@@ -35,7 +35,7 @@
 		this.executor = executor;
 	}
 
-	void fail(Supplier<Fault> next) {
+	void setFaults(Supplier<Fault> next) {
 		this.faults = next;
 	}
 
@@ -43,8 +43,8 @@
 	 * Let the held write take effect at last.
 	 * @return what became of it
 	 */
-	CommitResult land() {
-		return apply(this.held);
+	CommitResult applyHeldWrites() {
+		return apply(this.heldWrites);
 	}
 
 	@Override
@@ -61,7 +61,7 @@
 	public CompletableFuture<CommitResult> commit(List<ConditionalWrite> writes) {
 		return call((fault) -> {
 			if (fault == Fault.HELD) {
-				this.held = writes;
+				this.heldWrites = writes;
 				return null;
 			}
 			return apply(writes);
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/idempotency/IdempotentRequestsTests.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/idempotency/IdempotentRequestRouterTests.java
@@ -23,7 +23,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class IdempotentRequestsTests {
+class IdempotentRequestRouterTests {
 
 	private static final Duration RETRY_AFTER = Duration.ofSeconds(1);
 
@@ -39,18 +39,18 @@
 
 	private RequestOutcome next = answered("done");
 
-	private final IdempotentRequests gateway = gateway();
+	private final IdempotentRequestRouter gateway = gateway();
 
-	private final IdempotentRequests other = gateway();
+	private final IdempotentRequestRouter other = gateway();
 
-	private IdempotentRequests gateway() {
-		return new IdempotentRequests(this.table, (request) -> {
+	private IdempotentRequestRouter gateway() {
+		return new IdempotentRequestRouter(this.table, (request) -> {
 			this.run.add(request.id());
 			return CompletableFuture.completedFuture(this.next);
 		}, () -> this.now, RETRY_AFTER);
 	}
 
-	private RequestOutcome route(IdempotentRequests through, String id, String key, String body) {
+	private RequestOutcome route(IdempotentRequestRouter through, String id, String key, String body) {
 		return through.route(key, request(id, body)).join();
 	}
 
@@ -61,7 +61,7 @@
 
 	private void fail(Fault... faults) {
 		Iterator<Fault> coming = Arrays.asList(faults).iterator();
-		this.table.fail(() -> coming.hasNext() ? coming.next() : Fault.NONE);
+		this.table.setFaults(() -> coming.hasNext() ? coming.next() : Fault.NONE);
 	}
 
 	private static RequestOutcome answered(String body) {
@@ -83,47 +83,48 @@
 
 		@Test
 		void getTheStoredAnswerThroughAnotherGateway() {
-			assertAnswered(route(IdempotentRequestsTests.this.gateway, "one", "key", "a"), "done");
-			assertAnswered(route(IdempotentRequestsTests.this.other, "two", "key", "a"), "done");
+			assertAnswered(route(IdempotentRequestRouterTests.this.gateway, "one", "key", "a"), "done");
+			assertAnswered(route(IdempotentRequestRouterTests.this.other, "two", "key", "a"), "done");
 
-			assertThat(IdempotentRequestsTests.this.run).containsExactly("one");
+			assertThat(IdempotentRequestRouterTests.this.run).containsExactly("one");
 		}
 
 		@Test
 		void areUnknownWhileTheOutcomeIsOpen() {
-			IdempotentRequestsTests.this.next = UNKNOWN;
-			route(IdempotentRequestsTests.this.gateway, "one", "key", "a");
+			IdempotentRequestRouterTests.this.next = UNKNOWN;
+			route(IdempotentRequestRouterTests.this.gateway, "one", "key", "a");
 
-			assertThat(route(IdempotentRequestsTests.this.other, "two", "key", "a"))
+			assertThat(route(IdempotentRequestRouterTests.this.other, "two", "key", "a"))
 				.isInstanceOf(RequestOutcome.Unknown.class);
-			assertThat(IdempotentRequestsTests.this.run).containsExactly("one");
+			assertThat(IdempotentRequestRouterTests.this.run).containsExactly("one");
 		}
 
 		@Test
 		void runWhenTheFirstWasNotRun() {
-			IdempotentRequestsTests.this.next = NOT_RUN;
-			route(IdempotentRequestsTests.this.gateway, "one", "key", "a");
-			IdempotentRequestsTests.this.next = answered("later");
+			IdempotentRequestRouterTests.this.next = NOT_RUN;
+			route(IdempotentRequestRouterTests.this.gateway, "one", "key", "a");
+			IdempotentRequestRouterTests.this.next = answered("later");
 
-			assertAnswered(route(IdempotentRequestsTests.this.other, "two", "key", "a"), "later");
+			assertAnswered(route(IdempotentRequestRouterTests.this.other, "two", "key", "a"), "later");
 		}
 
 		@Test
 		void areRefusedWhenTheyAskForSomethingElse() {
-			route(IdempotentRequestsTests.this.gateway, "one", "key", "a");
+			route(IdempotentRequestRouterTests.this.gateway, "one", "key", "a");
 
-			assertNotRun(route(IdempotentRequestsTests.this.other, "two", "key", "b"), NotRunReason.KEY_REUSED);
-			assertThat(IdempotentRequestsTests.this.run).containsExactly("one");
+			assertNotRun(route(IdempotentRequestRouterTests.this.other, "two", "key", "b"), NotRunReason.KEY_REUSED);
+			assertThat(IdempotentRequestRouterTests.this.run).containsExactly("one");
 		}
 
 		@Test
 		void areUnknownWhenTheAnswerWasTooLargeToKeep() {
-			IdempotentRequestsTests.this.next = answered("x".repeat(IdempotentRequests.MAXIMUM_ANSWER_BYTES + 1));
-			route(IdempotentRequestsTests.this.gateway, "one", "key", "a");
+			IdempotentRequestRouterTests.this.next = answered(
+					"x".repeat(IdempotentRequestRouter.MAXIMUM_ANSWER_BYTES + 1));
+			route(IdempotentRequestRouterTests.this.gateway, "one", "key", "a");
 
-			assertThat(route(IdempotentRequestsTests.this.other, "two", "key", "a"))
+			assertThat(route(IdempotentRequestRouterTests.this.other, "two", "key", "a"))
 				.isInstanceOf(RequestOutcome.Unknown.class);
-			assertThat(IdempotentRequestsTests.this.run).containsExactly("one");
+			assertThat(IdempotentRequestRouterTests.this.run).containsExactly("one");
 		}
 
 	}
@@ -135,52 +136,53 @@
 		void leaveTheRequestNotRunWhenTheTableIsDown() {
 			fail(Fault.DOWN);
 
-			RequestOutcome outcome = route(IdempotentRequestsTests.this.gateway, "one", "key", "a");
+			RequestOutcome outcome = route(IdempotentRequestRouterTests.this.gateway, "one", "key", "a");
 
 			assertThat(outcome).isEqualTo(new RequestOutcome.NotRun(NotRunReason.PLATFORM_UNAVAILABLE, RETRY_AFTER));
-			assertThat(IdempotentRequestsTests.this.run).isEmpty();
+			assertThat(IdempotentRequestRouterTests.this.run).isEmpty();
 		}
 
 		@Test
 		void areSettledByReadingBackWhenTheReservationsAnswerIsLost() {
 			fail(Fault.NONE, Fault.ANSWER_LOST);
 
-			assertAnswered(route(IdempotentRequestsTests.this.gateway, "one", "key", "a"), "done");
-			assertThat(IdempotentRequestsTests.this.run).containsExactly("one");
+			assertAnswered(route(IdempotentRequestRouterTests.this.gateway, "one", "key", "a"), "done");
+			assertThat(IdempotentRequestRouterTests.this.run).containsExactly("one");
 		}
 
 		@Test
 		void freeTheKeyLaterWhenTheReservationCannotBeReadBack() {
 			fail(Fault.NONE, Fault.ANSWER_LOST, Fault.DOWN, Fault.DOWN);
-			assertNotRun(route(IdempotentRequestsTests.this.gateway, "one", "key", "a"),
+			assertNotRun(route(IdempotentRequestRouterTests.this.gateway, "one", "key", "a"),
 					NotRunReason.PLATFORM_UNAVAILABLE);
-			assertThat(IdempotentRequestsTests.this.gateway.unsettled()).isOne();
+			assertThat(IdempotentRequestRouterTests.this.gateway.pendingWrites()).isOne();
 
-			IdempotentRequestsTests.this.gateway.retryDelayed();
+			IdempotentRequestRouterTests.this.gateway.retryDelayedWrites();
 
-			assertAnswered(route(IdempotentRequestsTests.this.other, "two", "key", "a"), "done");
-			assertThat(IdempotentRequestsTests.this.run).containsExactly("two");
-			assertThat(IdempotentRequestsTests.this.gateway.unsettled()).isZero();
+			assertAnswered(route(IdempotentRequestRouterTests.this.other, "two", "key", "a"), "done");
+			assertThat(IdempotentRequestRouterTests.this.run).containsExactly("two");
+			assertThat(IdempotentRequestRouterTests.this.gateway.pendingWrites()).isZero();
 		}
 
 		@Test
 		void stopAReservationThatArrivesAfterItWasGivenUp() {
 			fail(Fault.NONE, Fault.HELD, Fault.DOWN);
-			assertNotRun(route(IdempotentRequestsTests.this.gateway, "one", "key", "a"),
+			assertNotRun(route(IdempotentRequestRouterTests.this.gateway, "one", "key", "a"),
 					NotRunReason.PLATFORM_UNAVAILABLE);
 
-			assertThat(IdempotentRequestsTests.this.table.land()).isInstanceOf(CommitResult.Conflict.class);
-			assertAnswered(route(IdempotentRequestsTests.this.other, "two", "key", "a"), "done");
+			assertThat(IdempotentRequestRouterTests.this.table.applyHeldWrites())
+				.isInstanceOf(CommitResult.Conflict.class);
+			assertAnswered(route(IdempotentRequestRouterTests.this.other, "two", "key", "a"), "done");
 		}
 
 		@Test
 		void doNotKeepTheAnswerFromTheCaller() {
 			fail(Fault.NONE, Fault.NONE, Fault.DOWN);
-			assertAnswered(route(IdempotentRequestsTests.this.gateway, "one", "key", "a"), "done");
-			IdempotentRequestsTests.this.gateway.retryDelayed();
+			assertAnswered(route(IdempotentRequestRouterTests.this.gateway, "one", "key", "a"), "done");
+			IdempotentRequestRouterTests.this.gateway.retryDelayedWrites();
 
-			assertAnswered(route(IdempotentRequestsTests.this.other, "two", "key", "a"), "done");
-			assertThat(IdempotentRequestsTests.this.run).containsExactly("one");
+			assertAnswered(route(IdempotentRequestRouterTests.this.other, "two", "key", "a"), "done");
+			assertThat(IdempotentRequestRouterTests.this.run).containsExactly("one");
 		}
 
 	}
@@ -220,7 +222,7 @@
 
 		private final List<String> toldNotRun = new ArrayList<>();
 
-		private final List<IdempotentRequests> gateways = new ArrayList<>();
+		private final List<IdempotentRequestRouter> gateways = new ArrayList<>();
 
 		private Race(SplittableRandom random) {
 			this.random = random;
@@ -229,10 +231,10 @@
 		private void run(int requests) {
 			Executor anyOrder = this.pending::add;
 			FakeTable shared = new FakeTable(anyOrder);
-			shared.fail(() -> Fault.values()[Math.max(0, this.random.nextInt(10) - 6)]);
+			shared.setFaults(() -> Fault.values()[Math.max(0, this.random.nextInt(10) - 6)]);
 			for (int index = 0; index < requests; index++) {
-				IdempotentRequests through = new IdempotentRequests(shared, this::send,
-						() -> IdempotentRequestsTests.this.now, RETRY_AFTER);
+				IdempotentRequestRouter through = new IdempotentRequestRouter(shared, this::send,
+						() -> IdempotentRequestRouterTests.this.now, RETRY_AFTER);
 				this.gateways.add(through);
 				String id = "request-" + index;
 				this.pending.add(() -> through.route("key", request(id, "a")).thenAccept((outcome) -> {
@@ -243,7 +245,7 @@
 			}
 			for (int step = 0; step < 200 && !this.pending.isEmpty(); step++) {
 				this.pending.remove(this.random.nextInt(this.pending.size())).run();
-				this.gateways.get(this.random.nextInt(requests)).retryDelayed();
+				this.gateways.get(this.random.nextInt(requests)).retryDelayedWrites();
 			}
 		}
 
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/idempotency/KeyBucketTests.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/idempotency/KeyBucketTests.java
@@ -20,7 +20,7 @@
 	private static KeyBucket bucket(int records, Instant keepUntil) {
 		KeyBucket bucket = KeyBucket.EMPTY;
 		for (int number = 0; number < records; number++) {
-			bucket = bucket.with(record(number, keepUntil), Instant.MIN).orElseThrow();
+			bucket = bucket.withRecord(record(number, keepUntil), Instant.MIN).orElseThrow();
 		}
 		return bucket;
 	}
@@ -29,26 +29,26 @@
 	void takesNoKeyWhileItIsFullOfKeysThatAreKept() {
 		KeyBucket full = bucket(KeyBucket.MAXIMUM_RECORDS, NOW.plusSeconds(1));
 
-		assertThat(full.with(record(100, NOW), NOW)).isEmpty();
+		assertThat(full.withRecord(record(100, NOW), NOW)).isEmpty();
 	}
 
 	@Test
 	void forgetsTheOldestKeysOnceTheirTimeIsOver() {
 		KeyBucket full = bucket(KeyBucket.MAXIMUM_RECORDS, NOW);
 
-		Optional<KeyBucket> next = full.with(record(100, NOW), NOW);
+		Optional<KeyBucket> next = full.withRecord(record(100, NOW), NOW);
 
-		assertThat(next.orElseThrow().records()).hasSize(KeyBucket.ALWAYS_KEPT + 1);
+		assertThat(next.orElseThrow().records()).hasSize(KeyBucket.MINIMUM_RETAINED_RECORDS + 1);
 		assertThat(next.orElseThrow().find("key-0")).isEmpty();
 	}
 
 	@Test
 	void keepsItsNewestKeysWhenAClockRunsAhead() {
-		KeyBucket few = bucket(KeyBucket.ALWAYS_KEPT, NOW);
+		KeyBucket few = bucket(KeyBucket.MINIMUM_RETAINED_RECORDS, NOW);
 
-		KeyBucket next = few.with(record(100, NOW), Instant.MAX).orElseThrow();
+		KeyBucket next = few.withRecord(record(100, NOW), Instant.MAX).orElseThrow();
 
-		assertThat(next.records()).hasSize(KeyBucket.ALWAYS_KEPT + 1);
+		assertThat(next.records()).hasSize(KeyBucket.MINIMUM_RETAINED_RECORDS + 1);
 	}
 
 	@Test
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/queue/CutOffDomainTests.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/queue/CutOffDomainTests.java
@@ -76,7 +76,7 @@
 
 	private void own(FakeScheduler scheduler, long epoch, String... racks) {
 		scheduler.hosts(HOSTS);
-		List.of(racks).forEach((rack) -> scheduler.racks().own(rack, epoch));
+		List.of(racks).forEach((rack) -> scheduler.racks().acquireOwnership(rack, epoch));
 		scheduler.work();
 		scheduler.queues()
 			.update(CellData.inForce(1, CellData.run("wages", 2, true), CellData.run("roster", 2, false)));
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/queue/LeavingWorkerTests.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/queue/LeavingWorkerTests.java
@@ -36,7 +36,7 @@
 	@BeforeEach
 	void runOnOneWorker() {
 		this.scheduler.hosts(CellData.hosts(1, CellData.worker("w1", "r1")));
-		this.scheduler.racks().own("r1", 1);
+		this.scheduler.racks().acquireOwnership("r1", 1);
 		this.scheduler.work();
 		this.scheduler.queues().update(CellData.inForce(1, List.of(DESK), List.of(ROSTER), Set.of()));
 		this.scheduler.queues().own(CellData.TEAM, 1);
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/queue/OnceOnlyTests.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/queue/OnceOnlyTests.java
@@ -40,7 +40,7 @@
 	private FakeScheduler newScheduler(String name, long epoch) {
 		FakeScheduler created = new FakeScheduler(name, this.table, this.workers, this.time);
 		created.hosts(HOSTS);
-		created.racks().own("r1", epoch);
+		created.racks().acquireOwnership("r1", epoch);
 		return created;
 	}
 
@@ -133,7 +133,7 @@
 		void keepsItsTaskInDoubtUnderAListOlderThanTheRecord() {
 			FakeScheduler successor = new FakeScheduler("second", OnceOnlyTests.this.table, OnceOnlyTests.this.workers,
 					OnceOnlyTests.this.time);
-			successor.racks().own("r1", 2);
+			successor.racks().acquireOwnership("r1", 2);
 			successor.hosts(CellData.hosts(4));
 			declare(successor, 1, 2);
 			successor.seconds(10);
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/queue/QueueRecoveryTests.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/queue/QueueRecoveryTests.java
@@ -37,7 +37,7 @@
 		FakeScheduler created = new FakeScheduler("scheduler-" + epoch, this.table, this.workers, this.time);
 		created.hosts(CellData.hosts(5, hosts(hosts)));
 		for (int rack = 0; rack * RACK < hosts; rack++) {
-			created.racks().own("r" + rack, epoch);
+			created.racks().acquireOwnership("r" + rack, epoch);
 		}
 		created.work();
 		return created;
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/rack/AttemptEventsTests.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/rack/AttemptEventsTests.java
@@ -25,21 +25,21 @@
 
 	private final AttemptEvents events = new AttemptEvents(this.judged::add);
 
-	private final WorkerSlot slot = slot("worker-1");
+	private final TrackedWorker slot = slot("worker-1");
 
 	AttemptEventsTests() {
-		this.slot.teamOf(ATTEMPT, "crew");
-		this.slot.teamOf(OTHER, "depot");
+		this.slot.setTeam(ATTEMPT, "crew");
+		this.slot.setTeam(OTHER, "depot");
 	}
 
-	private static WorkerSlot slot(String name) {
-		return new WorkerSlot(new Host(name, new HostAddress("127.0.0.1", 1), HostKind.WORKER, "i1", "a", "r1", "",
+	private static TrackedWorker slot(String name) {
+		return new TrackedWorker(new Host(name, new HostAddress("127.0.0.1", 1), HostKind.WORKER, "i1", "a", "r1", "",
 				HostState.LIVE, new Resources(8, 8192, 0)), 0);
 	}
 
 	private AttemptEvent post(AttemptId attempt, AttemptEventKind kind) {
-		AttemptEvent event = this.slot.event(attempt, kind);
-		this.events.post(event, this.slot);
+		AttemptEvent event = this.slot.createEvent(attempt, kind);
+		this.events.publish(event, this.slot);
 		return event;
 	}
 
@@ -47,19 +47,19 @@
 	void waitByTeamUntilTheyAreAcknowledged() {
 		AttemptEvent running = post(ATTEMPT, AttemptEventKind.RUNNING);
 		AttemptEvent ended = post(OTHER, AttemptEventKind.FINISHED);
-		assertThat(this.events.byTeam()).containsOnlyKeys("crew", "depot");
+		assertThat(this.events.unacknowledgedByTeam()).containsOnlyKeys("crew", "depot");
 		this.events.acknowledge(running);
 		this.events.acknowledge(ended);
-		assertThat(this.events.byTeam()).isEmpty();
-		assertThat(this.events.slot(ATTEMPT)).contains(this.slot);
-		assertThat(this.events.slot(OTHER)).isEmpty();
+		assertThat(this.events.unacknowledgedByTeam()).isEmpty();
+		assertThat(this.events.worker(ATTEMPT)).contains(this.slot);
+		assertThat(this.events.worker(OTHER)).isEmpty();
 	}
 
 	@Test
 	void anEndIsKeptWhateverIsHeardAfterIt() {
 		AttemptEvent ended = post(ATTEMPT, AttemptEventKind.FINISHED);
 		post(ATTEMPT, AttemptEventKind.RUNNING);
-		assertThat(this.events.byTeam().get("crew")).containsExactly(ended);
+		assertThat(this.events.unacknowledgedByTeam().get("crew")).containsExactly(ended);
 	}
 
 	@Test
@@ -67,7 +67,7 @@
 		AttemptEvent running = post(ATTEMPT, AttemptEventKind.RUNNING);
 		AttemptEvent ended = post(ATTEMPT, AttemptEventKind.FINISHED);
 		this.events.acknowledge(running);
-		assertThat(this.events.byTeam().get("crew")).containsExactly(ended);
+		assertThat(this.events.unacknowledgedByTeam().get("crew")).containsExactly(ended);
 	}
 
 	@Test
@@ -81,19 +81,19 @@
 	void whatRunsIsPostedAgainForANewOwnerOfItsTeamAlone() {
 		this.events.acknowledge(post(ATTEMPT, AttemptEventKind.RUNNING));
 		this.events.acknowledge(post(OTHER, AttemptEventKind.RUNNING));
-		this.events.postRunning("crew");
-		assertThat(this.events.byTeam()).containsOnlyKeys("crew");
+		this.events.republishRunning("crew");
+		assertThat(this.events.unacknowledgedByTeam()).containsOnlyKeys("crew");
 	}
 
 	@Test
 	void allOfAWorkerIsForgottenWithIt() {
 		post(ATTEMPT, AttemptEventKind.RUNNING);
-		WorkerSlot stays = slot("worker-2");
-		stays.teamOf(OTHER, "depot");
-		this.events.post(stays.event(OTHER, AttemptEventKind.RUNNING), stays);
-		this.events.forgetAll(List.of(this.slot));
-		assertThat(this.events.byTeam()).containsOnlyKeys("depot");
-		assertThat(this.events.slot(ATTEMPT)).isEmpty();
+		TrackedWorker stays = slot("worker-2");
+		stays.setTeam(OTHER, "depot");
+		this.events.publish(stays.createEvent(OTHER, AttemptEventKind.RUNNING), stays);
+		this.events.removeAllOn(List.of(this.slot));
+		assertThat(this.events.unacknowledgedByTeam()).containsOnlyKeys("depot");
+		assertThat(this.events.worker(ATTEMPT)).isEmpty();
 	}
 
 }
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/rack/ProbationTests.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/rack/ProbationTests.java
@@ -30,7 +30,7 @@
 	private void declare(RunDeclaration... runs) {
 		this.scheduler.hosts(CellData.hosts(1, CellData.worker("w1", "r1"), CellData.worker("w2", "r1"),
 				CellData.worker("w3", "r1"), CellData.worker("w4", "r1")));
-		this.scheduler.racks().own("r1", 1);
+		this.scheduler.racks().acquireOwnership("r1", 1);
 		this.scheduler.work();
 		this.scheduler.queues().update(CellData.inForce(1, runs));
 		this.scheduler.queues().own(CellData.TEAM, 1);
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/rack/RackManagerTests.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/rack/RackManagerTests.java
@@ -51,12 +51,12 @@
 
 	private void takeOver(long epoch) {
 		this.racks.update(CellData.hosts(1, CellData.worker("w1", "r1")));
-		this.racks.own("r1", epoch);
+		this.racks.acquireOwnership("r1", epoch);
 		heartbeat();
 	}
 
 	private void heartbeat() {
-		this.racks.heartbeat();
+		this.racks.sendHeartbeats();
 		this.control.drain();
 	}
 
@@ -67,16 +67,26 @@
 
 	private void run(AttemptId attempt) {
 		reserve(attempt, true);
-		this.racks.sendOrders();
+		this.racks.sendUrgentCommands();
 		this.control.drain();
 	}
 
 	private List<AttemptEventKind> events() {
-		return this.racks.events().values().stream().flatMap(List::stream).map(AttemptEvent::kind).toList();
+		return this.racks.unacknowledgedEvents()
+			.values()
+			.stream()
+			.flatMap(List::stream)
+			.map(AttemptEvent::kind)
+			.toList();
 	}
 
 	private void acknowledgeAll() {
-		this.racks.events().values().stream().flatMap(List::stream).toList().forEach(this.racks::acknowledge);
+		this.racks.unacknowledgedEvents()
+			.values()
+			.stream()
+			.flatMap(List::stream)
+			.toList()
+			.forEach(this.racks::acknowledge);
 	}
 
 	private void pass(int seconds) {
@@ -174,11 +184,11 @@
 
 		@Test
 		void addedWhileACommandIsInFlightAreSentAfterIt() {
-			RackManagerTests.this.racks.heartbeat();
+			RackManagerTests.this.racks.sendHeartbeats();
 			reserve(FIRST, true);
-			RackManagerTests.this.racks.sendOrders();
+			RackManagerTests.this.racks.sendUrgentCommands();
 			RackManagerTests.this.control.drain();
-			RackManagerTests.this.racks.sendOrders();
+			RackManagerTests.this.racks.sendUrgentCommands();
 			RackManagerTests.this.control.drain();
 			assertThat(RackManagerTests.this.workers.running()).containsExactly(FIRST);
 		}
@@ -241,7 +251,7 @@
 		@Test
 		void withAHigherEpochForgetsThePlacesOfTheFormerOne() {
 			reserve(FIRST, false);
-			RackManagerTests.this.racks.own("r1", 3);
+			RackManagerTests.this.racks.acquireOwnership("r1", 3);
 			assertThat(reserve(FIRST, false)).isEmpty();
 		}
 
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/routing/BackendPoolTests.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/routing/BackendPoolTests.java
@@ -23,11 +23,11 @@
 
 class BackendPoolTests {
 
-	private static final AttemptResult WHOLE = new AttemptResult.Whole(200, List.of(), new byte[0]);
+	private static final AttemptResult WHOLE = new AttemptResult.Answered(200, List.of(), new byte[0]);
 
-	private static final AttemptResult SERVER_ERROR = new AttemptResult.Whole(500, List.of(), new byte[0]);
+	private static final AttemptResult SERVER_ERROR = new AttemptResult.Answered(500, List.of(), new byte[0]);
 
-	private static final AttemptResult BROKEN = new AttemptResult.Broken(true, "timeout");
+	private static final AttemptResult BROKEN = new AttemptResult.Incomplete(true, "timeout");
 
 	private static final AttemptResult FULL = new AttemptResult.Refused(false);
 
@@ -240,7 +240,7 @@
 
 			BackendPoolTests.this.pool.release(old, LEAVING);
 
-			assertThat(BackendPoolTests.this.pool.hasServers()).isTrue();
+			assertThat(BackendPoolTests.this.pool.hasActiveServers()).isTrue();
 			assertThat(acquireAll()).hasSize(8);
 		}
 
@@ -277,7 +277,7 @@
 			list(host(1));
 
 			assertThat(BackendPoolTests.this.pool.acquire(Set.of())).isEmpty();
-			assertThat(BackendPoolTests.this.pool.leaving()).containsExactly("1-start-1");
+			assertThat(BackendPoolTests.this.pool.leavingIncarnations()).containsExactly("1-start-1");
 		}
 
 		@Test
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/routing/ServiceRouterTests.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/routing/ServiceRouterTests.java
@@ -25,9 +25,9 @@
 
 class ServiceRouterTests {
 
-	private static final AttemptResult WHOLE = new AttemptResult.Whole(200, List.of(), new byte[0]);
+	private static final AttemptResult WHOLE = new AttemptResult.Answered(200, List.of(), new byte[0]);
 
-	private static final AttemptResult BROKEN = new AttemptResult.Broken(false, "reset");
+	private static final AttemptResult BROKEN = new AttemptResult.Incomplete(false, "reset");
 
 	private static final AttemptResult NOT_SENT = new AttemptResult.NotSent("refused");
 
@@ -111,7 +111,7 @@
 			CompletableFuture<RequestOutcome> broken = confirmation();
 			end(0, BROKEN);
 			CompletableFuture<RequestOutcome> silent = confirmation();
-			end(1, new AttemptResult.Silent("timeout"));
+			end(1, new AttemptResult.StaleConnection("timeout"));
 
 			assertUnknown(broken);
 			assertUnknown(silent);
@@ -179,7 +179,7 @@
 				outcomes.add(lookup());
 			}
 			for (int attempt = 0; attempt < 2 * RESERVE; attempt++) {
-				end(attempt, new AttemptResult.Silent("timeout"));
+				end(attempt, new AttemptResult.StaleConnection("timeout"));
 				end(2 * RESERVE + attempt, WHOLE);
 			}
 
@@ -226,10 +226,10 @@
 			lookup();
 			CompletableFuture<RequestOutcome> waiting = lookup();
 			ServiceRouterTests.this.now = ServiceRouterTests.this.now.plusSeconds(10);
-			ServiceRouterTests.this.router.expire();
+			ServiceRouterTests.this.router.refuseExpired();
 
 			assertNotRun(waiting, NotRunReason.DEADLINE);
-			assertThat(ServiceRouterTests.this.router.waiting()).isZero();
+			assertThat(ServiceRouterTests.this.router.waitingCount()).isZero();
 		}
 
 		@Test
--- a/monsoonrelay-scheduler/src/main/java/org/monsoonrelay/scheduler/EventDelivery.java
+++ b/monsoonrelay-scheduler/src/main/java/org/monsoonrelay/scheduler/EventDelivery.java
@@ -49,7 +49,7 @@
 	 * Deliver what waits.
 	 */
 	void round() {
-		this.racks.events().forEach((team, events) -> {
+		this.racks.unacknowledgedEvents().forEach((team, events) -> {
 			if (this.queues.teams().contains(team)) {
 				new ArrayList<>(events).forEach((event) -> this.queues.take(event, team, this.racks::acknowledge));
 				return;
--- a/monsoonrelay-scheduler/src/main/java/org/monsoonrelay/scheduler/SchedulerMessages.java
+++ b/monsoonrelay-scheduler/src/main/java/org/monsoonrelay/scheduler/SchedulerMessages.java
@@ -73,7 +73,7 @@
 				yield empty();
 			}
 			case QUEUE_CLAIM -> {
-				this.racks.claim(request.getQueueClaim().getTeam());
+				this.racks.republishRunning(request.getQueueClaim().getTeam());
 				yield empty();
 			}
 			case ATTEMPT_EVENTS -> events(request.getAttemptEvents());
--- a/monsoonrelay-scheduler/src/main/java/org/monsoonrelay/scheduler/SchedulerNode.java
+++ b/monsoonrelay-scheduler/src/main/java/org/monsoonrelay/scheduler/SchedulerNode.java
@@ -196,19 +196,19 @@
 		this.peers.dropSilent(System.nanoTime()).forEach(this.racks::drop);
 		this.racks.update(this.session, this.rackManager.summaries());
 		this.queueManager.satisfiedElsewhere(this.peers.satisfied());
-		this.rackManager.heartbeat();
+		this.rackManager.sendHeartbeats();
 		announce();
 		this.activation.round(areAllRacksKnown());
 	}
 
 	private void tick() {
 		this.queueManager.tick();
-		this.rackManager.sendOrders();
+		this.rackManager.sendUrgentCommands();
 		this.delivery.round();
 	}
 
 	private void sample() {
-		int events = this.rackManager.events().values().stream().mapToInt(List::size).sum();
+		int events = this.rackManager.unacknowledgedEvents().values().stream().mapToInt(List::size).sum();
 		this.schedulerMetrics.sample(this.queueManager.teams().size(), this.queueManager.status(),
 				WorkersRoom.of(this.rackManager.summaries()), events);
 	}
@@ -243,10 +243,10 @@
 		if (key.startsWith(TableKeys.RACKS)) {
 			String rack = key.substring(TableKeys.RACKS.length());
 			if (own) {
-				this.rackManager.own(rack, owned.epoch());
+				this.rackManager.acquireOwnership(rack, owned.epoch());
 			}
 			else {
-				this.rackManager.disown(rack);
+				this.rackManager.releaseOwnership(rack);
 			}
 			return;
 		}
@@ -288,7 +288,7 @@
 	}
 
 	private void claim(String team) {
-		this.rackManager.claim(team);
+		this.rackManager.republishRunning(team);
 		Envelope.Builder claim = Envelope.newBuilder().setQueueClaim(QueueClaim.newBuilder().setTeam(team));
 		this.settings.node().peerAddresses().forEach((peer) -> this.network.tell(peer, claim.clone()));
 	}
