--- a/monsoonrelay-benchmarks/src/main/java/org/monsoonrelay/benchmarks/capacity/PlatformSlopes.java
+++ b/monsoonrelay-benchmarks/src/main/java/org/monsoonrelay/benchmarks/capacity/PlatformSlopes.java
@@ -173,9 +173,9 @@
 		SampleScheduler scheduler = new SampleScheduler(1_000,
 				SampleCell.inForce(SampleCell.text(SampleCell.team(0), jobs, tasks, true, 60_000)));
 		int ticks = 0;
-		while (scheduler.queues().satisfied().size() < jobs) {
+		while (scheduler.queues().satisfiedDependencies().size() < jobs) {
 			if (ticks++ > MAXIMUM_TICKS) {
-				throw new IllegalStateException("jobs do not finish: " + scheduler.queues().status().get(0));
+				throw new IllegalStateException("jobs do not finish: " + scheduler.queues().jobStatuses().get(0));
 			}
 			scheduler.tick();
 			scheduler.workers().finishAll();
--- a/monsoonrelay-benchmarks/src/main/java/org/monsoonrelay/benchmarks/capacity/SampleScheduler.java
+++ b/monsoonrelay-benchmarks/src/main/java/org/monsoonrelay/benchmarks/capacity/SampleScheduler.java
@@ -14,7 +14,7 @@
 import org.monsoonrelay.logic.control.InForce;
 import org.monsoonrelay.logic.placement.Reservation;
 import org.monsoonrelay.logic.placement.ReservationRequest;
-import org.monsoonrelay.logic.queue.JobJournal;
+import org.monsoonrelay.logic.queue.JobRecordStore;
 import org.monsoonrelay.logic.queue.QueueManager;
 import org.monsoonrelay.logic.queue.RackDirectory;
 import org.monsoonrelay.logic.queue.RackOwners;
@@ -57,7 +57,7 @@
 	SampleScheduler(int workerCount, InForce inForce) {
 		InstantSource clock = InstantSource.system();
 		this.racks = new RackManager(this.workers, this.executor, clock, System::nanoTime, LEASE);
-		this.queues = new QueueManager(new OwnRacks(), this.directory, (onConflict) -> new JobJournal(this.platform,
+		this.queues = new QueueManager(new OwnRacks(), this.directory, (onConflict) -> new JobRecordStore(this.platform,
 				this.executor, () -> "write-" + ++this.writeIds, onConflict), this.executor, clock);
 		for (int rack = 0; rack * SampleCell.WORKERS_A_RACK < workerCount; rack++) {
 			this.racks.acquireOwnership(SampleCell.rack(rack), EPOCH);
@@ -66,7 +66,7 @@
 		this.racks.sendHeartbeats();
 		settle();
 		this.queues.update(inForce);
-		this.queues.own(SampleCell.team(0), EPOCH);
+		this.queues.acquireOwnership(SampleCell.team(0), EPOCH);
 		settle();
 		this.queues.activate(SampleCell.team(0));
 		publish();
@@ -97,7 +97,7 @@
 		settle();
 		this.racks.unacknowledgedEvents()
 			.forEach((team, events) -> new ArrayList<>(events)
-				.forEach((event) -> this.queues.take(event, team, this.racks::acknowledge)));
+				.forEach((event) -> this.queues.handleEvent(event, team, this.racks::acknowledge)));
 		settle();
 	}
 
--- a/monsoonrelay-benchmarks/src/main/java/org/monsoonrelay/benchmarks/placement/DecisionBenchmark.java
+++ b/monsoonrelay-benchmarks/src/main/java/org/monsoonrelay/benchmarks/placement/DecisionBenchmark.java
@@ -89,7 +89,7 @@
 	public boolean directory() {
 		String rack = this.directory.choose(WorkloadKind.BATCH, TASK, Map.of()).orElseThrow();
 		boolean held = hold(this.packing.choose(JOB, TASK, this.cell.rack(rack)));
-		this.directory.giveBack(rack, TASK);
+		this.directory.undoChoice(rack, TASK);
 		return held;
 	}
 
--- a/monsoonrelay-benchmarks/src/main/java/org/monsoonrelay/benchmarks/placement/DirectoryPlacer.java
+++ b/monsoonrelay-benchmarks/src/main/java/org/monsoonrelay/benchmarks/placement/DirectoryPlacer.java
@@ -81,16 +81,16 @@
 		Map<String, List<AttemptId>> byRack = choose(directory, job, waiting);
 		int chosen = byRack.values().stream().mapToInt(List::size).sum();
 		if (gang && chosen < job.tasks()) {
-			byRack.forEach((rack, attempts) -> attempts.forEach((attempt) -> directory.giveBack(rack, job.size())));
+			byRack.forEach((rack, attempts) -> attempts.forEach((attempt) -> directory.undoChoice(rack, job.size())));
 			return Map.of();
 		}
 		Map<AttemptId, Worker> placed = new LinkedHashMap<>();
 		byRack.forEach((rack, attempts) -> {
 			if (reserve(job, rack, attempts, placed) < attempts.size()) {
-				directory.refused(rack, job.size());
+				directory.recordRefusal(rack, job.size());
 			}
 			else {
-				directory.accepted(job.size());
+				directory.recordAcceptance(job.size());
 			}
 		});
 		this.messages += byRack.size();
--- a/monsoonrelay-benchmarks/src/test/java/org/monsoonrelay/benchmarks/capacity/SampleSchedulerTests.java
+++ b/monsoonrelay-benchmarks/src/test/java/org/monsoonrelay/benchmarks/capacity/SampleSchedulerTests.java
@@ -20,7 +20,7 @@
 		scheduler.heartbeat();
 		scheduler.tick();
 
-		assertThat(scheduler.queues().satisfied()).hasSize(5);
+		assertThat(scheduler.queues().satisfiedDependencies()).hasSize(5);
 	}
 
 }
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/placement/AttemptEventKind.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/placement/AttemptEventKind.java
@@ -25,7 +25,7 @@
 	 * the worker's restart or silence, says otherwise.
 	 * @return {@code true} for the two ends that a worker reports
 	 */
-	public boolean isEnd() {
+	public boolean isReportedByWorker() {
 		return this == FINISHED || this == FAILED;
 	}
 
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/placement/PackingPolicy.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/placement/PackingPolicy.java
@@ -18,7 +18,7 @@
 	public Optional<Worker> choose(JobId job, Resources size, Collection<Worker> workers) {
 		Worker best = null;
 		for (Worker worker : workers) {
-			if (worker.accepts(size) && (best == null || isTighter(worker, best, size))) {
+			if (worker.accepts(size) && (best == null || isTighterFit(worker, best, size))) {
 				best = worker;
 			}
 		}
@@ -27,20 +27,20 @@
 
 	/**
 	 * Tell whether a worker is the tighter fit of two.
-	 * @param one the worker
-	 * @param other the other worker
+	 * @param candidate the worker
+	 * @param current the other worker
 	 * @param size what the task asks for
 	 * @return {@code true} if the first is to be preferred
 	 */
-	static boolean isTighter(Worker one, Worker other, Resources size) {
-		boolean oneStrands = one.free().wouldStrandAccelerators(size, one.capacity());
-		boolean otherStrands = other.free().wouldStrandAccelerators(size, other.capacity());
-		if (oneStrands != otherStrands) {
-			return otherStrands;
+	static boolean isTighterFit(Worker candidate, Worker current, Resources size) {
+		boolean candidateStrands = candidate.free().wouldStrandAccelerators(size, candidate.capacity());
+		boolean currentStrands = current.free().wouldStrandAccelerators(size, current.capacity());
+		if (candidateStrands != currentStrands) {
+			return currentStrands;
 		}
-		int byShare = Double.compare(one.free().smallestShareOf(one.capacity()),
-				other.free().smallestShareOf(other.capacity()));
-		return (byShare != 0) ? byShare < 0 : one.id().compareTo(other.id()) < 0;
+		int byShare = Double.compare(candidate.free().smallestShareOf(candidate.capacity()),
+				current.free().smallestShareOf(current.capacity()));
+		return (byShare != 0) ? byShare < 0 : candidate.id().compareTo(current.id()) < 0;
 	}
 
 }
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/placement/RackRoom.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/placement/RackCandidate.java
@@ -6,7 +6,7 @@
  * What a queue owner believes of a rack while it chooses one. Belongs to the control
  * thread.
  */
-public interface RackRoom {
+public interface RackCandidate {
 
 	/**
 	 * Name of the rack.
@@ -32,12 +32,12 @@
 	 * @param size what each task asks for
 	 * @return the count, 0 if it is uncertain that one fits
 	 */
-	long room(Resources size);
+	long estimatedTaskCount(Resources size);
 
 	/**
 	 * Tell whether this round asks the rack's owner for room anyway.
 	 * @return {@code true} if the rack was chosen before in this round
 	 */
-	boolean isAskedThisRound();
+	boolean isChosenThisRound();
 
 }
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/placement/RackPolicy.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/placement/RackPolicy.java
@@ -15,6 +15,6 @@
 	 * @param size what the task asks for
 	 * @return the cost; the rack with the least is chosen
 	 */
-	double cost(RackRoom rack, Resources size);
+	double cost(RackCandidate rack, Resources size);
 
 }
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/placement/SpreadPolicy.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/placement/SpreadPolicy.java
@@ -24,9 +24,9 @@
 		return Optional.ofNullable(best);
 	}
 
-	private static boolean isBetter(Worker one, Worker other, JobId job, Resources size) {
-		int byReplicas = Integer.compare(one.attemptsOf(job), other.attemptsOf(job));
-		return (byReplicas != 0) ? byReplicas < 0 : PackingPolicy.isTighter(one, other, size);
+	private static boolean isBetter(Worker candidate, Worker current, JobId job, Resources size) {
+		int byReplicas = Integer.compare(candidate.attemptsOf(job), current.attemptsOf(job));
+		return (byReplicas != 0) ? byReplicas < 0 : PackingPolicy.isTighterFit(candidate, current, size);
 	}
 
 }
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/placement/WeightedRackPolicy.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/placement/WeightedRackPolicy.java
@@ -16,9 +16,9 @@
 	 * More than any sum of the other terms, so that what stands beside free accelerators
 	 * is left for work that asks for them as long as there is another rack.
 	 */
-	private static final double ACCELERATORS_STRANDED = 1_000;
+	private static final double STRANDED_ACCELERATORS_COST = 1_000;
 
-	private static final double MESSAGE = 0.05;
+	private static final double MESSAGE_COST = 0.05;
 
 	private final PolicyWeights weights;
 
@@ -27,13 +27,14 @@
 	}
 
 	@Override
-	public double cost(RackRoom rack, Resources size) {
-		double packing = rack.free().smallestShareOf(rack.capacity());
-		double waiting = 1.0 / (1 + rack.room(size));
-		double control = rack.isAskedThisRound() ? 0 : MESSAGE;
-		double stranded = rack.free().wouldStrandAccelerators(size, rack.capacity()) ? ACCELERATORS_STRANDED : 0;
-		return this.weights.packing() * packing + this.weights.waiting() * waiting
-				+ this.weights.controlCost() * control + stranded;
+	public double cost(RackCandidate rack, Resources size) {
+		double packingCost = rack.free().smallestShareOf(rack.capacity());
+		double waitingCost = 1.0 / (1 + rack.estimatedTaskCount(size));
+		double controlCost = rack.isChosenThisRound() ? 0 : MESSAGE_COST;
+		double strandedCost = rack.free().wouldStrandAccelerators(size, rack.capacity()) ? STRANDED_ACCELERATORS_COST
+				: 0;
+		return this.weights.packing() * packingCost + this.weights.waiting() * waitingCost
+				+ this.weights.controlCost() * controlCost + strandedCost;
 	}
 
 }
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/queue/AttemptFollowUp.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/queue/AttemptReconciler.java
@@ -34,11 +34,11 @@
  * lacks its worker; no clock but this process's own is read. Not thread-safe: confined to
  * the control thread.
  */
-final class AttemptFollowUp {
+final class AttemptReconciler {
 
-	private static final Duration STOP_INTERVAL = Duration.ofSeconds(5);
+	private static final Duration STOP_RETRY_INTERVAL = Duration.ofSeconds(5);
 
-	private static final int MAXIMUM_MESSAGES = 1000;
+	private static final int MAXIMUM_MESSAGES_PER_ROUND = 1000;
 
 	private final RackOwners rackOwners;
 
@@ -46,23 +46,23 @@
 
 	private final InstantSource clock;
 
-	private final Map<String, Long> epochs = new HashMap<>();
+	private final Map<String, Long> lastRackEpochs = new HashMap<>();
 
 	private final Set<AttemptId> unconfirmed = new LinkedHashSet<>();
 
-	private final Map<AttemptId, Stop> stops = new LinkedHashMap<>();
+	private final Map<AttemptId, PendingStop> pendingStops = new LinkedHashMap<>();
 
-	private final Map<AttemptId, WorkerId> replaced = new LinkedHashMap<>();
+	private final Map<AttemptId, WorkerId> replacedAttempts = new LinkedHashMap<>();
 
 	private HostList hosts = new HostList(0, List.of());
 
 	private Map<String, String> rackByWorker = Map.of();
 
-	private Set<String> leaving = Set.of();
+	private Set<String> leavingWorkers = Set.of();
 
-	private final Set<String> everListed = new HashSet<>();
+	private final Set<String> everListedWorkers = new HashSet<>();
 
-	AttemptFollowUp(RackOwners rackOwners, RackDirectory racks, InstantSource clock) {
+	AttemptReconciler(RackOwners rackOwners, RackDirectory racks, InstantSource clock) {
 		this.rackOwners = rackOwners;
 		this.racks = racks;
 		this.clock = clock;
@@ -72,8 +72,8 @@
 		if (list.version() >= this.hosts.version()) {
 			this.hosts = list;
 			this.rackByWorker = list.hosts().stream().collect(Collectors.toMap(Host::name, Host::rack, (a, b) -> b));
-			this.everListed.addAll(this.rackByWorker.keySet());
-			this.leaving = list.hosts()
+			this.everListedWorkers.addAll(this.rackByWorker.keySet());
+			this.leavingWorkers = list.hosts()
 				.stream()
 				.filter((host) -> host.state() == HostState.LEAVING)
 				.map(Host::name)
@@ -102,7 +102,7 @@
 	 * @param team the team it counts against
 	 */
 	void stop(AttemptId attempt, WorkerId worker, String team) {
-		repeatStop(attempt, worker, team);
+		scheduleStopRetry(attempt, worker, team);
 		this.rackOwners.stop(rackOf(worker.value()), attempt, worker, team);
 	}
 
@@ -112,9 +112,10 @@
 	 * @param worker the worker it was placed on, empty if not known
 	 * @param team the team it counts against
 	 */
-	void repeatStop(AttemptId attempt, WorkerId worker, String team) {
+	void scheduleStopRetry(AttemptId attempt, WorkerId worker, String team) {
 		if (!worker.value().isEmpty()) {
-			this.stops.put(attempt, new Stop(worker, team, this.clock.instant().plus(STOP_INTERVAL)));
+			this.pendingStops.put(attempt,
+					new PendingStop(worker, team, this.clock.instant().plus(STOP_RETRY_INTERVAL)));
 		}
 	}
 
@@ -127,11 +128,11 @@
 	 * @param attempt the attempt
 	 * @param ended whether it has ended
 	 */
-	void heard(AttemptId attempt, boolean ended) {
+	void recordReport(AttemptId attempt, boolean ended) {
 		this.unconfirmed.remove(attempt);
 		if (ended) {
-			this.stops.remove(attempt);
-			this.replaced.remove(attempt);
+			this.pendingStops.remove(attempt);
+			this.replacedAttempts.remove(attempt);
 		}
 	}
 
@@ -141,13 +142,13 @@
 	 * @param job the job
 	 * @param event what was told
 	 */
-	void running(Job job, AttemptEvent event) {
+	void handleRunning(Job job, AttemptEvent event) {
 		AttemptId attempt = event.attempt();
 		job.running(attempt, event.worker());
 		if (isCurrent(job, attempt)) {
 			stopReplaced(job, (old) -> old.task() == attempt.task() && old.attempt() < attempt.attempt());
 		}
-		else if (!this.replaced.containsKey(attempt)) {
+		else if (!this.replacedAttempts.containsKey(attempt)) {
 			stop(attempt, event.worker(), job.workload().team());
 		}
 	}
@@ -156,16 +157,16 @@
 	 * A job was cancelled: what runs on until it is replaced is stopped, too.
 	 * @param job the job
 	 */
-	void cancelled(Job job) {
+	void handleCancelled(Job job) {
 		stopReplaced(job, (old) -> true);
 	}
 
 	private void stopReplaced(Job job, Predicate<AttemptId> condition) {
-		List<AttemptId> due = this.replaced.keySet()
+		List<AttemptId> due = this.replacedAttempts.keySet()
 			.stream()
 			.filter((old) -> old.job().equals(job.id()) && condition.test(old))
 			.toList();
-		due.forEach((old) -> stop(old, this.replaced.remove(old), job.workload().team()));
+		due.forEach((old) -> stop(old, this.replacedAttempts.remove(old), job.workload().team()));
 	}
 
 	private static boolean isCurrent(Job job, AttemptId attempt) {
@@ -178,34 +179,35 @@
 	/**
 	 * Ask after what is in doubt. Meant to be called about once a second.
 	 * @param jobs the owned jobs
-	 * @param gone told of attempts whose worker is gone for certain
+	 * @param onGone told of attempts whose worker is gone for certain
 	 */
-	void round(Collection<Job> jobs, BiConsumer<Job, AttemptId> gone) {
+	void reconcile(Collection<Job> jobs, BiConsumer<Job, AttemptId> onGone) {
 		Instant now = this.clock.instant();
-		doubtChangedRacks(jobs);
-		int asked = 0;
+		markUnconfirmedOnChangedRacks(jobs);
+		int sent = 0;
 		for (Job job : jobs) {
-			if (asked < MAXIMUM_MESSAGES && job.counts().keySet().stream().anyMatch(TaskState::mayRun)) {
-				asked += followUp(job, gone);
+			if (sent < MAXIMUM_MESSAGES_PER_ROUND && job.counts().keySet().stream().anyMatch(TaskState::mayRun)) {
+				sent += reconcileJob(job, onGone);
 			}
 		}
-		repeatStops(now);
+		retryStops(now);
 	}
 
-	private void doubtChangedRacks(Collection<Job> jobs) {
-		Set<String> changed = this.racks.epochs()
+	private void markUnconfirmedOnChangedRacks(Collection<Job> jobs) {
+		Set<String> changedRacks = this.racks.epochs()
 			.entrySet()
 			.stream()
-			.filter((entry) -> !entry.getValue().equals(this.epochs.getOrDefault(entry.getKey(), entry.getValue())))
+			.filter((entry) -> !entry.getValue()
+				.equals(this.lastRackEpochs.getOrDefault(entry.getKey(), entry.getValue())))
 			.map(Map.Entry::getKey)
 			.collect(Collectors.toSet());
-		this.epochs.putAll(this.racks.epochs());
-		if (changed.isEmpty()) {
+		this.lastRackEpochs.putAll(this.racks.epochs());
+		if (changedRacks.isEmpty()) {
 			return;
 		}
 		for (Job job : jobs) {
 			for (TaskRecord task : job.tasks()) {
-				if (task.state().mayRun() && changed.contains(rackOf(task.worker()))) {
+				if (task.state().mayRun() && changedRacks.contains(rackOf(task.worker()))) {
 					this.unconfirmed.add(new AttemptId(job.id(), task.task(), task.attempt()));
 				}
 			}
@@ -217,38 +219,39 @@
 	 * until the new ones run.
 	 * @param job the job
 	 */
-	private void replace(Job job) {
-		if (this.leaving.isEmpty() || job.workload().kind() != WorkloadKind.SERVICE) {
+	private void replaceOnLeavingWorkers(Job job) {
+		if (this.leavingWorkers.isEmpty() || job.workload().kind() != WorkloadKind.SERVICE) {
 			return;
 		}
 		for (TaskRecord task : job.tasks()) {
 			AttemptId attempt = new AttemptId(job.id(), task.task(), task.attempt());
-			boolean leaves = task.state() == TaskState.RUNNING && this.leaving.contains(task.worker());
-			if (leaves && job.lapsed(attempt)) {
-				this.replaced.put(attempt, new WorkerId(task.worker()));
+			boolean isOnLeavingWorker = task.state() == TaskState.RUNNING
+					&& this.leavingWorkers.contains(task.worker());
+			if (isOnLeavingWorker && job.lapsed(attempt)) {
+				this.replacedAttempts.put(attempt, new WorkerId(task.worker()));
 			}
 		}
 	}
 
-	private int followUp(Job job, BiConsumer<Job, AttemptId> gone) {
-		replace(job);
-		int asked = 0;
+	private int reconcileJob(Job job, BiConsumer<Job, AttemptId> onGone) {
+		replaceOnLeavingWorkers(job);
+		int sent = 0;
 		for (TaskRecord task : job.tasks()) {
 			AttemptId attempt = new AttemptId(job.id(), task.task(), task.attempt());
-			if (task.state().mayRun() && hasLeft(job, task)) {
-				gone.accept(job, attempt);
+			if (task.state().mayRun() && isWorkerRemoved(job, task)) {
+				onGone.accept(job, attempt);
 			}
 			else if (task.state() == TaskState.IN_DOUBT
 					|| (task.state().mayRun() && this.unconfirmed.contains(attempt))) {
 				this.rackOwners.resolve(rackOf(task.worker()), attempt, new WorkerId(task.worker()), task.incarnation(),
 						job.workload().team());
-				asked++;
+				sent++;
 			}
 			else {
 				this.unconfirmed.remove(attempt);
 			}
 		}
-		return asked;
+		return sent;
 	}
 
 	/**
@@ -258,24 +261,25 @@
 	 * @param task the task
 	 * @return {@code true} if its worker is gone for certain
 	 */
-	private boolean hasLeft(Job job, TaskRecord task) {
+	private boolean isWorkerRemoved(Job job, TaskRecord task) {
 		if (this.rackByWorker.containsKey(task.worker())) {
 			return false;
 		}
-		boolean recorded = task.state() == TaskState.IN_DOUBT && this.hosts.version() > 0
+		boolean removedSinceRecord = task.state() == TaskState.IN_DOUBT && this.hosts.version() > 0
 				&& this.hosts.version() >= job.hostsVersion();
-		return recorded || this.everListed.contains(task.worker());
+		return removedSinceRecord || this.everListedWorkers.contains(task.worker());
 	}
 
-	private void repeatStops(Instant now) {
-		Map<AttemptId, Stop> due = new LinkedHashMap<>();
-		for (Iterator<Map.Entry<AttemptId, Stop>> all = this.stops.entrySet().iterator(); all.hasNext();) {
-			Map.Entry<AttemptId, Stop> entry = all.next();
-			if (due.size() >= MAXIMUM_MESSAGES || now.isBefore(entry.getValue().notBefore())) {
+	private void retryStops(Instant now) {
+		Map<AttemptId, PendingStop> due = new LinkedHashMap<>();
+		for (Iterator<Map.Entry<AttemptId, PendingStop>> entries = this.pendingStops.entrySet().iterator(); entries
+			.hasNext();) {
+			Map.Entry<AttemptId, PendingStop> entry = entries.next();
+			if (due.size() >= MAXIMUM_MESSAGES_PER_ROUND || now.isBefore(entry.getValue().notBefore())) {
 				break;
 			}
 			due.put(entry.getKey(), entry.getValue());
-			all.remove();
+			entries.remove();
 		}
 		due.forEach((attempt, stop) -> {
 			if (isListed(stop.worker())) {
@@ -284,7 +288,7 @@
 		});
 	}
 
-	private record Stop(WorkerId worker, String team, Instant notBefore) {
+	private record PendingStop(WorkerId worker, String team, Instant notBefore) {
 
 	}
 
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/queue/AwaitedNames.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/queue/AwaitedDependencies.java
@@ -11,7 +11,7 @@
  * depends on needs no word, however many workloads have finished. Not thread-safe:
  * confined to the control thread.
  */
-public final class AwaitedNames {
+public final class AwaitedDependencies {
 
 	private Map<String, Set<String>> dependenciesByTeam = Map.of();
 
@@ -29,7 +29,7 @@
 	 * @param satisfied names of own workloads that are finished or up
 	 * @return those of the names that a team elsewhere depends on
 	 */
-	public Set<String> elsewhere(Set<String> ownTeams, Set<String> satisfied) {
+	public Set<String> awaitedByOtherOwners(Set<String> ownTeams, Set<String> satisfied) {
 		Set<String> awaited = new HashSet<>();
 		this.dependenciesByTeam.forEach((team, names) -> {
 			if (!ownTeams.contains(team)) {
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/queue/GangReservation.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/queue/GangReservation.java
@@ -22,40 +22,40 @@
 
 	private final Job job;
 
-	private final Map<String, List<AttemptId>> byRack;
+	private final Map<String, List<AttemptId>> attemptsByRack;
 
 	private final Gang gang;
 
-	private final Map<String, List<Reservation>> reserved = new LinkedHashMap<>();
+	private final Map<String, List<Reservation>> reservationsByRack = new LinkedHashMap<>();
 
-	GangReservation(Placer placer, Job job, Map<String, List<AttemptId>> byRack, Instant startBy) {
+	GangReservation(Placer placer, Job job, Map<String, List<AttemptId>> attemptsByRack, Instant startDeadline) {
 		this.placer = placer;
 		this.job = job;
-		this.byRack = byRack;
-		this.gang = new Gang(byRack.values().stream().flatMap(Collection::stream).toList(), startBy);
+		this.attemptsByRack = attemptsByRack;
+		this.gang = new Gang(attemptsByRack.values().stream().flatMap(Collection::stream).toList(), startDeadline);
 	}
 
-	void begin() {
-		this.byRack.forEach((rack, attempts) -> this.placer.askForGang(this.job, rack, attempts,
-				(reservations) -> answered(rack, reservations)));
+	void sendRequests() {
+		this.attemptsByRack.forEach((rack, attempts) -> this.placer.reserveForGang(this.job, rack, attempts,
+				(reservations) -> handleReply(rack, reservations)));
 	}
 
-	private void answered(String rack, List<Reservation> reservations) {
-		this.reserved.put(rack, reservations);
+	private void handleReply(String rack, List<Reservation> reservations) {
+		this.reservationsByRack.put(rack, reservations);
 		reservations.forEach((reservation) -> this.gang.held(reservation.attempt()));
-		if (this.reserved.size() < this.byRack.size()) {
+		if (this.reservationsByRack.size() < this.attemptsByRack.size()) {
 			return;
 		}
-		if (mayStart()) {
-			this.placer.record(this.job, this.reserved, this::mayStart);
+		if (tryStart()) {
+			this.placer.startReserved(this.job, this.reservationsByRack, this::tryStart);
 		}
 	}
 
-	private boolean mayStart() {
+	private boolean tryStart() {
 		if (this.gang.isGivenUp() || this.gang.startOrGiveUp(this.placer.now())) {
 			return !this.gang.isGivenUp();
 		}
-		this.placer.giveUp(this.job, this.byRack);
+		this.placer.backOffGang(this.job, this.attemptsByRack);
 		return false;
 	}
 
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/queue/Placer.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/queue/Placer.java
@@ -35,38 +35,38 @@
  */
 final class Placer {
 
-	private static final Duration RESERVATION = Duration.ofSeconds(5);
+	private static final Duration RESERVATION_TIMEOUT = Duration.ofSeconds(5);
 
-	private static final Duration GANG_START_WITHIN = Duration.ofSeconds(3);
+	private static final Duration GANG_START_TIMEOUT = Duration.ofSeconds(3);
 
-	private static final Duration FIRST_GANG_RETRY = Duration.ofMillis(100);
+	private static final Duration INITIAL_GANG_BACKOFF = Duration.ofMillis(100);
 
-	private static final int MAXIMUM_RETRY_DOUBLINGS = 5;
+	private static final int MAXIMUM_BACKOFF_DOUBLINGS = 5;
 
 	private final RackOwners rackOwners;
 
 	private final RackDirectory racks;
 
-	private final JobJournal journal;
+	private final JobRecordStore store;
 
-	private final Executor control;
+	private final Executor controlExecutor;
 
 	private final InstantSource clock;
 
-	private final Predicate<WorkerId> listed;
+	private final Predicate<WorkerId> workerListed;
 
 	private final Map<JobId, Map<AttemptId, String>> rackByAttempt = new HashMap<>();
 
-	private final Map<JobId, GangRetry> gangRetries = new HashMap<>();
+	private final Map<JobId, GangBackoff> gangBackoffs = new HashMap<>();
 
-	Placer(RackOwners rackOwners, RackDirectory racks, JobJournal journal, Executor control, InstantSource clock,
-			Predicate<WorkerId> listed) {
+	Placer(RackOwners rackOwners, RackDirectory racks, JobRecordStore store, Executor controlExecutor,
+			InstantSource clock, Predicate<WorkerId> workerListed) {
 		this.rackOwners = rackOwners;
 		this.racks = racks;
-		this.journal = journal;
-		this.control = control;
+		this.store = store;
+		this.controlExecutor = controlExecutor;
 		this.clock = clock;
-		this.listed = listed;
+		this.workerListed = workerListed;
 	}
 
 	Instant now() {
@@ -75,7 +75,7 @@
 
 	void forget(JobId id) {
 		this.rackByAttempt.remove(id);
-		this.gangRetries.remove(id);
+		this.gangBackoffs.remove(id);
 	}
 
 	/**
@@ -105,9 +105,9 @@
 	 */
 	int place(Job job, List<Integer> tasks) {
 		if (job.workload().kind() == WorkloadKind.GANG) {
-			return placeTogether(job, tasks);
+			return placeGang(job, tasks);
 		}
-		Map<String, List<AttemptId>> byRack = new LinkedHashMap<>();
+		Map<String, List<AttemptId>> attemptsByRack = new LinkedHashMap<>();
 		Map<String, Integer> replicas = replicasByRack(job);
 		int placed = 0;
 		for (int task : tasks) {
@@ -116,15 +116,15 @@
 				break;
 			}
 			replicas.merge(rack.get(), 1, Integer::sum);
-			AttemptId attempt = open(job, task, rack.get());
-			byRack.computeIfAbsent(rack.get(), (name) -> new ArrayList<>()).add(attempt);
+			AttemptId attempt = openAttempt(job, task, rack.get());
+			attemptsByRack.computeIfAbsent(rack.get(), (name) -> new ArrayList<>()).add(attempt);
 			placed++;
 		}
-		byRack.forEach((rack, attempts) -> reserve(job, rack, attempts));
+		attemptsByRack.forEach((rack, attempts) -> reserve(job, rack, attempts));
 		return placed;
 	}
 
-	private AttemptId open(Job job, int task, String rack) {
+	private AttemptId openAttempt(Job job, int task, String rack) {
 		AttemptId attempt = job.open(task);
 		this.rackByAttempt.computeIfAbsent(job.id(), (id) -> new HashMap<>()).put(attempt, rack);
 		return attempt;
@@ -141,71 +141,72 @@
 	}
 
 	private void reserve(Job job, String rack, List<AttemptId> attempts) {
-		boolean atOnce = !job.workload().once();
-		if (atOnce) {
+		boolean startAtOnce = !job.workload().once();
+		if (startAtOnce) {
 			attempts.forEach(job::starting);
 		}
-		this.rackOwners.reserve(request(job, rack, attempts, atOnce)).whenCompleteAsync((reserved, failure) -> {
+		this.rackOwners.reserve(request(job, rack, attempts, startAtOnce)).whenCompleteAsync((reserved, failure) -> {
 			if (failure != null) {
-				abandon(job, rack, attempts);
+				stopAll(job, rack, attempts);
 				return;
 			}
 			List<AttemptId> refused = new ArrayList<>(attempts);
 			reserved.forEach((reservation) -> refused.remove(reservation.attempt()));
 			refused.forEach(job::gone);
-			reserved.forEach((held) -> job.reservedOn(held.attempt(), held.worker(), held.incarnation()));
-			noteAnswer(rack, job.workload().size(), refused.size());
-			if (!atOnce) {
-				record(job, Map.of(rack, reserved), () -> true);
+			reserved.forEach((reservation) -> job.reservedOn(reservation.attempt(), reservation.worker(),
+					reservation.incarnation()));
+			recordReply(rack, job.workload().size(), refused.size());
+			if (!startAtOnce) {
+				startReserved(job, Map.of(rack, reserved), () -> true);
 			}
-		}, this.control);
+		}, this.controlExecutor);
 	}
 
-	private void noteAnswer(String rack, Resources size, int refused) {
+	private void recordReply(String rack, Resources size, int refused) {
 		if (refused > 0) {
-			this.racks.refused(rack, size);
+			this.racks.recordRefusal(rack, size);
 		}
 		else {
-			this.racks.accepted(size);
+			this.racks.recordAcceptance(size);
 		}
 	}
 
-	private ReservationRequest request(Job job, String rack, List<AttemptId> attempts, boolean atOnce) {
+	private ReservationRequest request(Job job, String rack, List<AttemptId> attempts, boolean startAtOnce) {
 		Workload workload = job.workload();
 		return new ReservationRequest(rack, workload.team(), workload.kind(), workload.size(), workload.runMillis(),
-				attempts, atOnce, now().plus(RESERVATION));
+				attempts, startAtOnce, now().plus(RESERVATION_TIMEOUT));
 	}
 
-	private void abandon(Job job, String rack, List<AttemptId> attempts) {
+	private void stopAll(Job job, String rack, List<AttemptId> attempts) {
 		for (AttemptId attempt : attempts) {
 			this.rackOwners.stop(rack, attempt, new WorkerId(""), job.workload().team());
 			job.gone(attempt);
 		}
 	}
 
-	private int placeTogether(Job job, List<Integer> tasks) {
+	private int placeGang(Job job, List<Integer> tasks) {
 		Workload workload = job.workload();
-		int wanted = workload.tasks() - job.count(TaskState.FINISHED) - job.openCount();
-		GangRetry retry = this.gangRetries.get(job.id());
-		if (wanted == 0 || tasks.size() < wanted || (retry != null && now().isBefore(retry.notBefore()))) {
+		int needed = workload.tasks() - job.count(TaskState.FINISHED) - job.openCount();
+		GangBackoff backoff = this.gangBackoffs.get(job.id());
+		if (needed == 0 || tasks.size() < needed || (backoff != null && now().isBefore(backoff.notBefore()))) {
 			return 0;
 		}
 		List<String> chosen = new ArrayList<>();
-		while (chosen.size() < wanted) {
+		while (chosen.size() < needed) {
 			Optional<String> rack = this.racks.choose(WorkloadKind.GANG, workload.size(), Map.of());
 			if (rack.isEmpty()) {
-				chosen.forEach((name) -> this.racks.giveBack(name, workload.size()));
+				chosen.forEach((name) -> this.racks.undoChoice(name, workload.size()));
 				return 0;
 			}
 			chosen.add(rack.get());
 		}
-		Map<String, List<AttemptId>> byRack = new LinkedHashMap<>();
-		for (int index = 0; index < wanted; index++) {
-			AttemptId attempt = open(job, tasks.get(index), chosen.get(index));
-			byRack.computeIfAbsent(chosen.get(index), (name) -> new ArrayList<>()).add(attempt);
+		Map<String, List<AttemptId>> attemptsByRack = new LinkedHashMap<>();
+		for (int index = 0; index < needed; index++) {
+			AttemptId attempt = openAttempt(job, tasks.get(index), chosen.get(index));
+			attemptsByRack.computeIfAbsent(chosen.get(index), (name) -> new ArrayList<>()).add(attempt);
 		}
-		new GangReservation(this, job, byRack, now().plus(GANG_START_WITHIN)).begin();
-		return wanted;
+		new GangReservation(this, job, attemptsByRack, now().plus(GANG_START_TIMEOUT)).sendRequests();
+		return needed;
 	}
 
 	/**
@@ -213,15 +214,15 @@
 	 * @param job the gang
 	 * @param rack the rack
 	 * @param attempts the attempts to place there
-	 * @param answered takes the reservations, none if no answer came
+	 * @param onReply takes the reservations, none if no answer came
 	 */
-	void askForGang(Job job, String rack, List<AttemptId> attempts, Consumer<List<Reservation>> answered) {
+	void reserveForGang(Job job, String rack, List<AttemptId> attempts, Consumer<List<Reservation>> onReply) {
 		this.rackOwners.reserve(request(job, rack, attempts, false)).whenCompleteAsync((reservations, failure) -> {
 			if (failure == null) {
-				noteAnswer(rack, job.workload().size(), attempts.size() - reservations.size());
+				recordReply(rack, job.workload().size(), attempts.size() - reservations.size());
 			}
-			answered.accept((failure != null) ? List.of() : reservations);
-		}, this.control);
+			onReply.accept((failure != null) ? List.of() : reservations);
+		}, this.controlExecutor);
 	}
 
 	/**
@@ -229,21 +230,21 @@
 	 * again. The wait grows and is drawn at random, so that gangs which want the same
 	 * room do not meet again.
 	 * @param job the gang
-	 * @param byRack its attempts, none of which was started
+	 * @param attemptsByRack its attempts, none of which was started
 	 */
-	void giveUp(Job job, Map<String, List<AttemptId>> byRack) {
-		byRack.forEach((rack, attempts) -> {
+	void backOffGang(Job job, Map<String, List<AttemptId>> attemptsByRack) {
+		attemptsByRack.forEach((rack, attempts) -> {
 			this.rackOwners.release(rack, attempts);
 			attempts.forEach((attempt) -> {
 				job.gone(attempt);
-				this.racks.giveBack(rack, job.workload().size());
+				this.racks.undoChoice(rack, job.workload().size());
 			});
 		});
-		GangRetry before = this.gangRetries.get(job.id());
-		int tries = (before != null) ? before.tries() : 0;
-		long bound = FIRST_GANG_RETRY.toMillis() << Math.min(tries, MAXIMUM_RETRY_DOUBLINGS);
-		Instant notBefore = now().plusMillis(bound + this.racks.random().nextLong(bound));
-		this.gangRetries.put(job.id(), new GangRetry(tries + 1, notBefore));
+		GangBackoff previous = this.gangBackoffs.get(job.id());
+		int failures = (previous != null) ? previous.failures() : 0;
+		long baseMillis = INITIAL_GANG_BACKOFF.toMillis() << Math.min(failures, MAXIMUM_BACKOFF_DOUBLINGS);
+		Instant notBefore = now().plusMillis(baseMillis + this.racks.random().nextLong(baseMillis));
+		this.gangBackoffs.put(job.id(), new GangBackoff(failures + 1, notBefore));
 	}
 
 	/**
@@ -251,41 +252,41 @@
 	 * durable.
 	 * @param job the job
 	 * @param reservedByRack the reservations
-	 * @param mayStart asked right before the start
+	 * @param startCheck asked right before the start
 	 */
-	void record(Job job, Map<String, List<Reservation>> reservedByRack, BooleanSupplier mayStart) {
+	void startReserved(Job job, Map<String, List<Reservation>> reservedByRack, BooleanSupplier startCheck) {
 		if (job.workload().once() && !reservedByRack.values().stream().flatMap(List::stream).allMatch(this::isListed)) {
-			releaseAll(job, reservedByRack);
+			releaseReservations(job, reservedByRack);
 			return;
 		}
-		List<AttemptId> held = new ArrayList<>();
+		List<AttemptId> startable = new ArrayList<>();
 		reservedByRack.values().forEach((reservations) -> reservations.forEach((reservation) -> {
 			if (job.reservedOn(reservation.attempt(), reservation.worker(), reservation.incarnation())
 					&& job.starting(reservation.attempt())) {
-				held.add(reservation.attempt());
+				startable.add(reservation.attempt());
 			}
 		}));
-		if (held.isEmpty()) {
+		if (startable.isEmpty()) {
 			return;
 		}
-		Runnable start = () -> {
-			if (mayStart.getAsBoolean()) {
-				start(job, reservedByRack, held);
+		Runnable sendStarts = () -> {
+			if (startCheck.getAsBoolean()) {
+				sendStarts(job, reservedByRack, startable);
 			}
 		};
 		if (job.workload().once()) {
-			this.journal.mark(job, start);
+			this.store.enqueue(job, sendStarts);
 		}
 		else {
-			start.run();
+			sendStarts.run();
 		}
 	}
 
 	private boolean isListed(Reservation reservation) {
-		return this.listed.test(reservation.worker());
+		return this.workerListed.test(reservation.worker());
 	}
 
-	private void releaseAll(Job job, Map<String, List<Reservation>> reservedByRack) {
+	private void releaseReservations(Job job, Map<String, List<Reservation>> reservedByRack) {
 		reservedByRack.forEach((rack, reservations) -> {
 			List<AttemptId> attempts = reservations.stream().map(Reservation::attempt).toList();
 			this.rackOwners.release(rack, attempts);
@@ -293,32 +294,33 @@
 		});
 	}
 
-	private void start(Job job, Map<String, List<Reservation>> reservedByRack, List<AttemptId> held) {
-		this.gangRetries.remove(job.id());
+	private void sendStarts(Job job, Map<String, List<Reservation>> reservedByRack, List<AttemptId> startable) {
+		this.gangBackoffs.remove(job.id());
 		Workload workload = job.workload();
 		reservedByRack.forEach((rack, reservations) -> {
-			List<StartTask> starts = reservations.stream()
+			List<StartTask> orders = reservations.stream()
 				.map(Reservation::attempt)
-				.filter(held::contains)
+				.filter(startable::contains)
 				.filter(job::isStarting)
 				.map((attempt) -> new StartTask(attempt, workload.team(), workload.size(), workload.runMillis()))
 				.toList();
-			if (!starts.isEmpty()) {
-				this.rackOwners.start(rack, starts)
-					.whenCompleteAsync((refused, failure) -> started(job, starts, refused, failure), this.control);
+			if (!orders.isEmpty()) {
+				this.rackOwners.start(rack, orders)
+					.whenCompleteAsync((refused, failure) -> handleStartReply(job, orders, refused, failure),
+							this.controlExecutor);
 			}
 		});
 	}
 
-	private void started(Job job, List<StartTask> starts, List<AttemptId> refused, Throwable failure) {
+	private void handleStartReply(Job job, List<StartTask> orders, List<AttemptId> refused, Throwable failure) {
 		if (failure != null) {
-			starts.forEach((start) -> job.lapsed(start.attempt()));
+			orders.forEach((order) -> job.lapsed(order.attempt()));
 			return;
 		}
 		refused.forEach(job::gone);
 	}
 
-	private record GangRetry(int tries, Instant notBefore) {
+	private record GangBackoff(int failures, Instant notBefore) {
 
 	}
 
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/queue/Preemption.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/queue/Preemption.java
@@ -30,7 +30,7 @@
  */
 final class Preemption {
 
-	private static final Duration STOP_WITHIN = Duration.ofMillis(1500);
+	private static final Duration STOP_TIMEOUT = Duration.ofMillis(1500);
 
 	private final Placer placer;
 
@@ -38,7 +38,7 @@
 
 	private final InstantSource clock;
 
-	private final List<Stopping> stopping = new ArrayList<>();
+	private final List<PendingPreemption> pendingPreemptions = new ArrayList<>();
 
 	Preemption(Placer placer, RackDirectory racks, InstantSource clock) {
 		this.placer = placer;
@@ -50,13 +50,13 @@
 	 * Tell the directory of the room that has come free since the last round, so that
 	 * urgent work finds it before the next summary does.
 	 */
-	void beginRound() {
-		this.stopping.removeIf((stop) -> {
-			boolean ended = stop.victims.stream().allMatch(Victim::hasEnded);
+	void recordFreedCapacity() {
+		this.pendingPreemptions.removeIf((preemption) -> {
+			boolean ended = preemption.victims.stream().allMatch(Victim::hasEnded);
 			if (ended) {
-				this.racks.freed(stop.rack, stop.freed());
+				this.racks.recordFreed(preemption.rack, preemption.freedResources());
 			}
-			return ended || !this.clock.instant().isBefore(stop.until);
+			return ended || !this.clock.instant().isBefore(preemption.deadline);
 		});
 	}
 
@@ -66,31 +66,33 @@
 	 * @param tasks how many of its tasks found no room
 	 * @param queues the queues whose batch work may be stopped
 	 */
-	void makeRoom(Job urgent, int tasks, Iterable<TeamQueue> queues) {
-		int coming = (int) this.stopping.stream().filter((stop) -> stop.urgent.equals(urgent.id())).count();
-		if (coming >= tasks) {
+	void preemptFor(Job urgent, int tasks, Iterable<TeamQueue> queues) {
+		int pending = (int) this.pendingPreemptions.stream()
+			.filter((preemption) -> preemption.urgentJob.equals(urgent.id()))
+			.count();
+		if (pending >= tasks) {
 			return;
 		}
-		Map<WorkerId, List<Victim>> byWorker = victims(queues);
-		for (int made = coming; made < tasks; made++) {
-			Optional<List<Victim>> enough = cheapest(byWorker.values(), urgent.workload().size());
-			if (enough.isEmpty()) {
+		Map<WorkerId, List<Victim>> byWorker = victimsByWorker(queues);
+		for (int count = pending; count < tasks; count++) {
+			Optional<List<Victim>> chosen = fewestVictims(byWorker.values(), urgent.workload().size());
+			if (chosen.isEmpty()) {
 				return;
 			}
-			stop(enough.get(), urgent.id());
-			byWorker.remove(enough.get().get(0).worker());
+			preempt(chosen.get(), urgent.id());
+			byWorker.remove(chosen.get().get(0).worker());
 		}
 	}
 
-	private Map<WorkerId, List<Victim>> victims(Iterable<TeamQueue> queues) {
+	private Map<WorkerId, List<Victim>> victimsByWorker(Iterable<TeamQueue> queues) {
 		Map<WorkerId, List<Victim>> byWorker = new HashMap<>();
-		Set<WorkerId> taken = new HashSet<>();
-		this.stopping.forEach((stop) -> taken.add(stop.victims.get(0).worker()));
+		Set<WorkerId> workersBeingPreempted = new HashSet<>();
+		this.pendingPreemptions.forEach((preemption) -> workersBeingPreempted.add(preemption.victims.get(0).worker()));
 		for (TeamQueue queue : queues) {
-			queue.jobs().values().stream().filter(Preemption::mayBeStopped).forEach((job) -> {
+			queue.jobs().values().stream().filter(Preemption::isPreemptible).forEach((job) -> {
 				for (TaskRecord task : job.tasks()) {
 					WorkerId worker = new WorkerId(task.worker());
-					if (task.state() == TaskState.RUNNING && !taken.contains(worker)) {
+					if (task.state() == TaskState.RUNNING && !workersBeingPreempted.contains(worker)) {
 						AttemptId attempt = new AttemptId(job.id(), task.task(), task.attempt());
 						byWorker.computeIfAbsent(worker, (name) -> new ArrayList<>())
 							.add(new Victim(job, attempt, worker));
@@ -101,20 +103,20 @@
 		return byWorker;
 	}
 
-	private static boolean mayBeStopped(Job job) {
+	private static boolean isPreemptible(Job job) {
 		return job.workload().kind() == WorkloadKind.BATCH && !job.workload().once() && !job.workload().urgent()
 				&& job.count(TaskState.RUNNING) > 0;
 	}
 
-	private static Optional<List<Victim>> cheapest(Collection<List<Victim>> workers, Resources size) {
+	private static Optional<List<Victim>> fewestVictims(Collection<List<Victim>> workers, Resources size) {
 		return workers.stream()
-			.map((victims) -> enough(victims, size))
+			.map((victims) -> selectVictims(victims, size))
 			.filter((victims) -> !victims.isEmpty())
 			.min(Comparator.comparingInt((List<Victim> victims) -> victims.size())
 				.thenComparing((victims) -> victims.get(0).worker()));
 	}
 
-	private static List<Victim> enough(List<Victim> victims, Resources size) {
+	private static List<Victim> selectVictims(List<Victim> victims, Resources size) {
 		List<Victim> newestFirst = new ArrayList<>(victims);
 		newestFirst.sort(Comparator.comparing((Victim victim) -> victim.job().readySince())
 			.reversed()
@@ -131,9 +133,10 @@
 		return List.of();
 	}
 
-	private void stop(List<Victim> victims, JobId urgent) {
+	private void preempt(List<Victim> victims, JobId urgentJob) {
 		String rack = this.placer.rackOf(victims.get(0).attempt());
-		this.stopping.add(new Stopping(victims, rack, urgent, this.clock.instant().plus(STOP_WITHIN)));
+		this.pendingPreemptions
+			.add(new PendingPreemption(victims, rack, urgentJob, this.clock.instant().plus(STOP_TIMEOUT)));
 		victims.forEach((victim) -> this.placer.stop(victim.job(), victim.attempt(), victim.worker()));
 	}
 
@@ -148,9 +151,9 @@
 	/**
 	 * Attempts on one worker that were asked to stop for one urgent task.
 	 */
-	private record Stopping(List<Victim> victims, String rack, JobId urgent, Instant until) {
+	private record PendingPreemption(List<Victim> victims, String rack, JobId urgentJob, Instant deadline) {
 
-		Resources freed() {
+		Resources freedResources() {
 			return this.victims.stream()
 				.map((victim) -> victim.job().workload().size())
 				.reduce(Resources.NONE, Resources::plus);
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/queue/QueueManager.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/queue/QueueManager.java
@@ -36,39 +36,39 @@
  */
 public final class QueueManager {
 
-	private static final Duration FOLLOW_UP_INTERVAL = Duration.ofSeconds(1);
+	private static final Duration RECONCILE_INTERVAL = Duration.ofSeconds(1);
 
 	private final Placer placer;
 
 	private final TeamScheduler scheduler;
 
-	private final AttemptFollowUp followUp;
+	private final AttemptReconciler followUp;
 
-	private final JobJournal journal;
+	private final JobRecordStore store;
 
-	private final Executor control;
+	private final Executor controlExecutor;
 
 	private final InstantSource clock;
 
 	private final Map<String, TeamQueue> queues = new TreeMap<>();
 
-	private final Map<JobId, Job> superseded = new HashMap<>();
+	private final Map<JobId, Job> supersededJobs = new HashMap<>();
 
-	private Map<JobId, Workload> declared = Map.of();
+	private Map<JobId, Workload> declaredWorkloads = Map.of();
 
-	private Instant followUpNotBefore = Instant.MIN;
+	private Instant nextReconcile = Instant.MIN;
 
 	private Set<String> satisfiedElsewhere = Set.of();
 
 	private InForce inForce = InForce.NOTHING;
 
-	public QueueManager(RackOwners rackOwners, RackDirectory racks, JobJournalFactory journals, Executor control,
-			InstantSource clock) {
-		this.journal = journals.create(this::reload);
-		this.followUp = new AttemptFollowUp(rackOwners, racks, clock);
-		this.placer = new Placer(rackOwners, racks, this.journal, control, clock, this.followUp::isListed);
-		this.scheduler = new TeamScheduler(this.placer, racks, this.journal, clock);
-		this.control = control;
+	public QueueManager(RackOwners rackOwners, RackDirectory racks, JobRecordStoreFactory storeFactory,
+			Executor controlExecutor, InstantSource clock) {
+		this.store = storeFactory.create(this::reload);
+		this.followUp = new AttemptReconciler(rackOwners, racks, clock);
+		this.placer = new Placer(rackOwners, racks, this.store, controlExecutor, clock, this.followUp::isListed);
+		this.scheduler = new TeamScheduler(this.placer, racks, this.store, clock);
+		this.controlExecutor = controlExecutor;
 		this.clock = clock;
 	}
 
@@ -78,10 +78,10 @@
 	 * @param team the team
 	 * @param epoch epoch of the ownership
 	 */
-	public void own(String team, long epoch) {
-		TeamQueue present = this.queues.get(team);
-		if (present == null || present.epoch() < epoch) {
-			disown(team);
+	public void acquireOwnership(String team, long epoch) {
+		TeamQueue current = this.queues.get(team);
+		if (current == null || current.epoch() < epoch) {
+			releaseOwnership(team);
 			this.queues.put(team, new TeamQueue(epoch));
 			loadMissing(team);
 		}
@@ -102,16 +102,16 @@
 	 * Cease to own a team's queue.
 	 * @param team the team
 	 */
-	public void disown(String team) {
+	public void releaseOwnership(String team) {
 		TeamQueue removed = this.queues.remove(team);
 		if (removed != null) {
-			removed.jobs().values().forEach(this::drop);
+			removed.jobs().values().forEach(this::discard);
 		}
 	}
 
-	private void drop(Job job) {
+	private void discard(Job job) {
 		job.retire();
-		this.journal.forget(job.id());
+		this.store.forget(job.id());
 		this.placer.forget(job.id());
 		this.scheduler.forget(job.id());
 	}
@@ -123,28 +123,28 @@
 	 */
 	public void update(HostList list) {
 		this.followUp.update(list);
-		this.journal.knownHosts(this.followUp.hostsVersion());
+		this.store.setHostsVersion(this.followUp.hostsVersion());
 	}
 
 	/**
 	 * Take in a new version of what operators have in force.
-	 * @param next the version
+	 * @param latest the version
 	 */
-	public void update(InForce next) {
-		this.inForce = next;
-		this.declared = next.text()
+	public void update(InForce latest) {
+		this.inForce = latest;
+		this.declaredWorkloads = latest.text()
 			.workloads()
 			.stream()
 			.collect(Collectors.toMap(Workload::id, (workload) -> workload));
 		this.queues.keySet().forEach(this::loadMissing);
 		for (TeamQueue queue : this.queues.values()) {
-			List.copyOf(queue.jobs().values()).forEach((job) -> adapt(queue, job));
+			List.copyOf(queue.jobs().values()).forEach((job) -> applyDeclaration(queue, job));
 		}
 	}
 
-	private void adapt(TeamQueue queue, Job job) {
-		Workload workload = this.declared.get(job.id());
-		Map<AttemptId, WorkerId> workers = workers(job);
+	private void applyDeclaration(TeamQueue queue, Job job) {
+		Workload workload = this.declaredWorkloads.get(job.id());
+		Map<AttemptId, WorkerId> workers = workersByAttempt(job);
 		if (workload != null && this.inForce.state().permits(job.id())) {
 			job.redeclare(workload).forEach((attempt) -> stop(job, attempt, workers));
 			return;
@@ -154,25 +154,26 @@
 			return;
 		}
 		job.cancel().forEach((attempt) -> stop(job, attempt, workers));
-		this.followUp.cancelled(job);
+		this.followUp.handleCancelled(job);
 		if (!this.inForce.state().cancelled().contains(job.id().toString())) {
-			this.journal.mark(job, () -> removeIfUndeclared(queue, job));
+			this.store.enqueue(job, () -> removeIfUndeclared(queue, job));
 		}
 	}
 
 	private void stop(Job job, AttemptId attempt, Map<AttemptId, WorkerId> workers) {
 		this.placer.stop(job, attempt, workers.get(attempt));
-		this.followUp.repeatStop(attempt, workers.get(attempt), job.workload().team());
+		this.followUp.scheduleStopRetry(attempt, workers.get(attempt), job.workload().team());
 	}
 
 	private void removeIfUndeclared(TeamQueue queue, Job job) {
-		if (!this.declared.containsKey(job.id()) && job.isFinal() && job.workload().kind() != WorkloadKind.SERVICE) {
+		if (!this.declaredWorkloads.containsKey(job.id()) && job.isFinal()
+				&& job.workload().kind() != WorkloadKind.SERVICE) {
 			queue.jobs().remove(job.id());
-			drop(job);
+			discard(job);
 		}
 	}
 
-	private static Map<AttemptId, WorkerId> workers(Job job) {
+	private static Map<AttemptId, WorkerId> workersByAttempt(Job job) {
 		Map<AttemptId, WorkerId> workers = new HashMap<>();
 		for (TaskRecord task : job.tasks()) {
 			workers.put(new AttemptId(job.id(), task.task(), task.attempt()), new WorkerId(task.worker()));
@@ -182,44 +183,44 @@
 
 	private void loadMissing(String team) {
 		TeamQueue queue = this.queues.get(team);
-		for (Workload workload : this.declared.values()) {
-			boolean wanted = workload.team().equals(team) && !queue.jobs().containsKey(workload.id());
-			if (wanted && queue.loading().add(workload.id())) {
+		for (Workload workload : this.declaredWorkloads.values()) {
+			boolean isMissing = workload.team().equals(team) && !queue.jobs().containsKey(workload.id());
+			if (isMissing && queue.loadingJobs().add(workload.id())) {
 				load(team, queue, workload.id());
 			}
 		}
-		queue.declaredBeforeLoading(this.declared.keySet());
+		queue.recordInitiallyDeclared(this.declaredWorkloads.keySet());
 	}
 
 	private void load(String team, TeamQueue queue, JobId id) {
-		this.journal.load(id).whenCompleteAsync((record, failure) -> {
-			queue.loading().remove(id);
-			Workload workload = this.declared.get(id);
+		this.store.load(id).whenCompleteAsync((record, failure) -> {
+			queue.loadingJobs().remove(id);
+			Workload workload = this.declaredWorkloads.get(id);
 			if (this.queues.get(team) != queue || workload == null) {
 				return;
 			}
 			if (failure == null) {
 				add(queue, workload, record);
 			}
-			else if (!workload.once() && queue.isNew(id)) {
+			else if (!workload.once() && queue.isDeclaredAfterLoad(id)) {
 				add(queue, workload, JobRecord.NONE);
 			}
-		}, this.control);
+		}, this.controlExecutor);
 	}
 
 	private void add(TeamQueue queue, Workload workload, JobRecord record) {
 		Job job = new Job(workload, record, queue.epoch(), this.clock.instant());
-		Optional.ofNullable(this.superseded.remove(job.id())).ifPresent(job::succeed);
+		Optional.ofNullable(this.supersededJobs.remove(job.id())).ifPresent(job::succeed);
 		queue.jobs().put(job.id(), job);
-		adapt(queue, job);
+		applyDeclaration(queue, job);
 	}
 
 	private void reload(JobId id) {
 		for (Map.Entry<String, TeamQueue> entry : this.queues.entrySet()) {
 			Job removed = entry.getValue().jobs().remove(id);
 			if (removed != null) {
-				drop(removed);
-				this.superseded.put(id, removed);
+				discard(removed);
+				this.supersededJobs.put(id, removed);
 				loadMissing(entry.getKey());
 			}
 		}
@@ -229,7 +230,7 @@
 	 * Names of workloads that other queue owners say are finished or up.
 	 * @param names the names
 	 */
-	public void satisfiedElsewhere(Set<String> names) {
+	public void setDependenciesSatisfiedElsewhere(Set<String> names) {
 		this.satisfiedElsewhere = Set.copyOf(names);
 	}
 
@@ -237,7 +238,7 @@
 	 * Names of own workloads that are finished or up.
 	 * @return the names
 	 */
-	public Set<String> satisfied() {
+	public Set<String> satisfiedDependencies() {
 		return this.queues.values()
 			.stream()
 			.flatMap((queue) -> queue.jobs().values().stream())
@@ -251,23 +252,23 @@
 	 */
 	public void tick() {
 		Set<String> satisfied = new HashSet<>(this.satisfiedElsewhere);
-		satisfied.addAll(satisfied());
-		followUp();
-		this.scheduler.round(this.queues, this.inForce, satisfied);
-		this.journal.flush();
+		satisfied.addAll(satisfiedDependencies());
+		reconcileIfDue();
+		this.scheduler.runRound(this.queues, this.inForce, satisfied);
+		this.store.flush();
 	}
 
-	private void followUp() {
+	private void reconcileIfDue() {
 		Instant now = this.clock.instant();
-		if (now.isBefore(this.followUpNotBefore)) {
+		if (now.isBefore(this.nextReconcile)) {
 			return;
 		}
-		this.followUpNotBefore = now.plus(FOLLOW_UP_INTERVAL);
+		this.nextReconcile = now.plus(RECONCILE_INTERVAL);
 		this.queues.keySet().forEach(this::loadMissing);
 		List<Job> jobs = this.queues.values().stream().flatMap((queue) -> queue.jobs().values().stream()).toList();
-		this.followUp.round(jobs, (job, attempt) -> {
+		this.followUp.reconcile(jobs, (job, attempt) -> {
 			if (job.gone(attempt)) {
-				this.journal.mark(job, () -> {
+				this.store.enqueue(job, () -> {
 				});
 			}
 		});
@@ -279,58 +280,58 @@
 	 * @param team the team the attempt counts against
 	 * @param acknowledge called with the event once it needs no repeat
 	 */
-	public void take(AttemptEvent event, String team, Consumer<AttemptEvent> acknowledge) {
+	public void handleEvent(AttemptEvent event, String team, Consumer<AttemptEvent> acknowledge) {
 		TeamQueue queue = this.queues.get(team);
-		if (queue == null || queue.loading().contains(event.attempt().job())) {
+		if (queue == null || queue.loadingJobs().contains(event.attempt().job())) {
 			return;
 		}
-		this.followUp.heard(event.attempt(), isEnd(event.kind()));
+		this.followUp.recordReport(event.attempt(), isTerminal(event.kind()));
 		Job job = queue.jobs().get(event.attempt().job());
 		if (job == null) {
 			if (isUndeclared(event.attempt().job())) {
-				stopUnwanted(event, team);
+				stopUnlessTerminal(event, team);
 				acknowledge.accept(event);
 			}
 			return;
 		}
-		apply(job, event, () -> acknowledge.accept(event));
+		applyEvent(job, event, () -> acknowledge.accept(event));
 	}
 
 	private boolean isUndeclared(JobId id) {
-		return this.inForce.head().version() > 0 && !this.declared.containsKey(id);
+		return this.inForce.head().version() > 0 && !this.declaredWorkloads.containsKey(id);
 	}
 
-	private static boolean isEnd(AttemptEventKind kind) {
+	private static boolean isTerminal(AttemptEventKind kind) {
 		return kind != AttemptEventKind.RUNNING && kind != AttemptEventKind.LAPSED;
 	}
 
-	private void stopUnwanted(AttemptEvent event, String team) {
-		if (!isEnd(event.kind())) {
+	private void stopUnlessTerminal(AttemptEvent event, String team) {
+		if (!isTerminal(event.kind())) {
 			this.followUp.stop(event.attempt(), event.worker(), team);
 		}
 	}
 
-	private void apply(Job job, AttemptEvent event, Runnable acknowledge) {
+	private void applyEvent(Job job, AttemptEvent event, Runnable acknowledge) {
 		AttemptId attempt = event.attempt();
 		switch (event.kind()) {
 			case RUNNING -> {
-				this.followUp.running(job, event);
+				this.followUp.handleRunning(job, event);
 				acknowledge.run();
 			}
 			case LAPSED -> {
 				job.lapsed(attempt);
 				acknowledge.run();
 			}
-			case FINISHED -> durably(job, job.finished(attempt), acknowledge);
-			case FAILED -> durably(job, job.failed(attempt, this.clock.instant()), acknowledge);
-			case GONE -> durably(job, job.gone(attempt), acknowledge);
+			case FINISHED -> acknowledgeWhenDurable(job, job.finished(attempt), acknowledge);
+			case FAILED -> acknowledgeWhenDurable(job, job.failed(attempt, this.clock.instant()), acknowledge);
+			case GONE -> acknowledgeWhenDurable(job, job.gone(attempt), acknowledge);
 		}
 	}
 
-	private void durably(Job job, boolean changed, Runnable acknowledge) {
+	private void acknowledgeWhenDurable(Job job, boolean changed, Runnable acknowledge) {
 		job.noteFinish(this.clock.instant());
-		if (changed || this.journal.isPending(job.id())) {
-			this.journal.mark(job, acknowledge);
+		if (changed || this.store.isPending(job.id())) {
+			this.store.enqueue(job, acknowledge);
 		}
 		else {
 			acknowledge.run();
@@ -341,7 +342,7 @@
 	 * What operators read of the owned jobs.
 	 * @return the status of each job
 	 */
-	public List<JobStatus> status() {
+	public List<JobStatus> jobStatuses() {
 		return this.queues.values()
 			.stream()
 			.flatMap((queue) -> queue.jobs().values().stream())
@@ -371,14 +372,14 @@
 	/**
 	 * Makes the journal that reports conflicts back.
 	 */
-	public interface JobJournalFactory {
+	public interface JobRecordStoreFactory {
 
 		/**
 		 * Create the journal.
 		 * @param onConflict called with a job whose row another owner has changed
 		 * @return the journal
 		 */
-		JobJournal create(Consumer<JobId> onConflict);
+		JobRecordStore create(Consumer<JobId> onConflict);
 
 	}
 
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/queue/RackDirectory.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/queue/RackDirectory.java
@@ -30,29 +30,29 @@
  */
 public final class RackDirectory {
 
-	private static final int SAMPLE = 64;
+	private static final int SAMPLE_SIZE = 64;
 
-	private static final int MAXIMUM_DOUBT = 30;
+	private static final int MAXIMUM_PENALTY_EXPONENT = 30;
 
 	private final Map<String, RackEntry> entries = new TreeMap<>();
 
-	private final Map<String, List<RackEntry>> byDomain = new TreeMap<>();
+	private final Map<String, List<RackEntry>> entriesByDomain = new TreeMap<>();
 
-	private final List<RackEntry> all = new ArrayList<>();
+	private final List<RackEntry> allEntries = new ArrayList<>();
 
-	private final Set<Resources> listedSizes = new HashSet<>();
+	private final Set<Resources> listedWorkerSizes = new HashSet<>();
 
 	private final UniformRandomProvider random;
 
 	private RackPolicy policy = new WeightedRackPolicy(PolicyWeights.EVEN);
 
-	private final Map<Resources, Integer> doubts = new HashMap<>();
+	private final Map<Resources, Integer> penaltyExponents = new HashMap<>();
 
 	private Resources listedCapacity = Resources.NONE;
 
 	private RackEntry lastChosen;
 
-	private final List<RackEntry> asked = new ArrayList<>();
+	private final List<RackEntry> entriesChosenThisRound = new ArrayList<>();
 
 	private boolean indexed;
 
@@ -66,12 +66,12 @@
 	 * @param summaries all racks it owns
 	 */
 	public void update(String session, Collection<RackSummary> summaries) {
-		Map<String, RackEntry> before = new HashMap<>(this.entries);
-		drop(session);
+		Map<String, RackEntry> previous = new HashMap<>(this.entries);
+		removeSession(session);
 		for (RackSummary summary : summaries) {
-			RackEntry present = this.entries.get(summary.rack());
-			if (present == null || present.summary().epoch() <= summary.epoch()) {
-				this.entries.put(summary.rack(), new RackEntry(session, summary, before.get(summary.rack())));
+			RackEntry current = this.entries.get(summary.rack());
+			if (current == null || current.summary().epoch() <= summary.epoch()) {
+				this.entries.put(summary.rack(), new RackEntry(session, summary, previous.get(summary.rack())));
 			}
 		}
 	}
@@ -80,7 +80,7 @@
 	 * Drop what a session sent, because it lapsed.
 	 * @param session the session
 	 */
-	public void drop(String session) {
+	public void removeSession(String session) {
 		this.entries.values().removeIf((entry) -> entry.session().equals(session));
 		this.lastChosen = null;
 		this.indexed = false;
@@ -91,12 +91,12 @@
 	 * that are silent.
 	 * @param hosts the hosts
 	 */
-	public void listed(Collection<Host> hosts) {
-		this.listedSizes.clear();
+	public void updateHosts(Collection<Host> hosts) {
+		this.listedWorkerSizes.clear();
 		this.listedCapacity = Resources.NONE;
 		for (Host host : hosts) {
 			if (host.kind() == HostKind.WORKER) {
-				this.listedSizes.add(host.capacity());
+				this.listedWorkerSizes.add(host.capacity());
 				this.listedCapacity = this.listedCapacity.plus(host.capacity());
 			}
 		}
@@ -105,15 +105,15 @@
 	/**
 	 * Tell whether any listed worker is large enough, even when it is empty.
 	 * @param size what a task asks for
-	 * @param together how many such tasks need each other
+	 * @param taskCount how many such tasks need each other
 	 * @return {@code false} only if the list has been read and rules it out
 	 */
-	public boolean canEverFit(Resources size, int together) {
-		if (this.listedSizes.isEmpty()) {
+	public boolean canEverFit(Resources size, int taskCount) {
+		if (this.listedWorkerSizes.isEmpty()) {
 			return true;
 		}
-		return this.listedSizes.stream().anyMatch((worker) -> worker.covers(size))
-				&& this.listedCapacity.count(size) >= together;
+		return this.listedWorkerSizes.stream().anyMatch((worker) -> worker.covers(size))
+				&& this.listedCapacity.count(size) >= taskCount;
 	}
 
 	/**
@@ -121,7 +121,7 @@
 	 * @return the sum
 	 */
 	public Resources capacity() {
-		if (!this.listedSizes.isEmpty()) {
+		if (!this.listedWorkerSizes.isEmpty()) {
 			return this.listedCapacity;
 		}
 		return this.entries.values().stream().map(RackEntry::capacity).reduce(Resources.NONE, Resources::plus);
@@ -133,8 +133,8 @@
 	 */
 	public void beginRound(RackPolicy rackPolicy) {
 		this.policy = rackPolicy;
-		this.asked.forEach(RackEntry::beginRound);
-		this.asked.clear();
+		this.entriesChosenThisRound.forEach(RackEntry::beginRound);
+		this.entriesChosenThisRound.clear();
 		this.lastChosen = null;
 	}
 
@@ -146,14 +146,14 @@
 	 * @return the rack, or empty if none seems to have room
 	 */
 	public Optional<String> choose(WorkloadKind kind, Resources size, Map<String, Integer> replicasByRack) {
-		index();
-		RackEntry chosen = (kind == WorkloadKind.SERVICE) ? spread(size, replicasByRack)
-				: pick(this.all, size, Map.of());
+		rebuildIndex();
+		RackEntry chosen = (kind == WorkloadKind.SERVICE) ? chooseSpread(size, replicasByRack)
+				: chooseFrom(this.allEntries, size, Map.of());
 		if (chosen == null) {
 			return Optional.empty();
 		}
-		chosen.take(size);
-		this.asked.add(chosen);
+		chosen.deduct(size);
+		this.entriesChosenThisRound.add(chosen);
 		this.lastChosen = chosen;
 		return Optional.of(chosen.rack());
 	}
@@ -163,10 +163,10 @@
 	 * @param rack the rack
 	 * @param size what was chosen
 	 */
-	public void giveBack(String rack, Resources size) {
+	public void undoChoice(String rack, Resources size) {
 		RackEntry entry = this.entries.get(rack);
 		if (entry != null) {
-			entry.giveBack(size);
+			entry.restore(size);
 		}
 	}
 
@@ -177,11 +177,12 @@
 	 * @param rack the rack
 	 * @param size what the task asked for
 	 */
-	public void refused(String rack, Resources size) {
+	public void recordRefusal(String rack, Resources size) {
 		RackEntry entry = this.entries.get(rack);
 		if (entry != null && entry.fits(size)) {
-			entry.refuse(size);
-			this.doubts.merge(size, 1, (doubt, one) -> Math.min(doubt + one, MAXIMUM_DOUBT));
+			entry.addRefusal(size);
+			this.penaltyExponents.merge(size, 1,
+					(exponent, increment) -> Math.min(exponent + increment, MAXIMUM_PENALTY_EXPONENT));
 		}
 	}
 
@@ -189,8 +190,8 @@
 	 * Note that a rack's owner had room for a size.
 	 * @param size what the task asked for
 	 */
-	public void accepted(Resources size) {
-		this.doubts.computeIfPresent(size, (same, doubt) -> (doubt > 1) ? doubt / 2 : null);
+	public void recordAcceptance(Resources size) {
+		this.penaltyExponents.computeIfPresent(size, (key, exponent) -> (exponent > 1) ? exponent / 2 : null);
 	}
 
 	/**
@@ -198,14 +199,14 @@
 	 * @param rack the rack
 	 * @param size the room
 	 */
-	public void freed(String rack, Resources size) {
+	public void recordFreed(String rack, Resources size) {
 		RackEntry entry = this.entries.get(rack);
 		if (entry != null) {
-			entry.freed(size);
+			entry.addFreed(size);
 		}
 	}
 
-	private RackEntry spread(Resources size, Map<String, Integer> replicasByRack) {
+	private RackEntry chooseSpread(Resources size, Map<String, Integer> replicasByRack) {
 		Map<String, Integer> replicasByDomain = new HashMap<>();
 		replicasByRack.forEach((rack, replicas) -> {
 			RackEntry entry = this.entries.get(rack);
@@ -213,10 +214,10 @@
 				replicasByDomain.merge(entry.summary().failureDomain(), replicas, Integer::sum);
 			}
 		});
-		List<String> domains = new ArrayList<>(this.byDomain.keySet());
+		List<String> domains = new ArrayList<>(this.entriesByDomain.keySet());
 		domains.sort(Comparator.comparingInt((domain) -> replicasByDomain.getOrDefault(domain, 0)));
 		for (String domain : domains) {
-			RackEntry chosen = pick(this.byDomain.get(domain), size, replicasByRack);
+			RackEntry chosen = chooseFrom(this.entriesByDomain.get(domain), size, replicasByRack);
 			if (chosen != null) {
 				return chosen;
 			}
@@ -224,18 +225,18 @@
 		return null;
 	}
 
-	private RackEntry pick(List<RackEntry> racks, Resources size, Map<String, Integer> replicasByRack) {
-		int sampled = Math.min(SAMPLE, racks.size());
-		for (int index = 0; sampled < racks.size() && index < sampled; index++) {
+	private RackEntry chooseFrom(List<RackEntry> racks, Resources size, Map<String, Integer> replicasByRack) {
+		int sampleSize = Math.min(SAMPLE_SIZE, racks.size());
+		for (int index = 0; sampleSize < racks.size() && index < sampleSize; index++) {
 			Collections.swap(racks, index, index + this.random.nextInt(racks.size() - index));
 		}
-		RackEntry chosen = best(racks, 0, sampled, size, replicasByRack);
+		RackEntry chosen = lowestCost(racks, 0, sampleSize, size, replicasByRack);
 		if (chosen == null) {
-			return best(racks, sampled, racks.size(), size, replicasByRack);
+			return lowestCost(racks, sampleSize, racks.size(), size, replicasByRack);
 		}
-		boolean again = this.lastChosen != null && replicasByRack.isEmpty() && this.lastChosen.fits(size)
-				&& !this.doubts.containsKey(size);
-		return (again && this.policy.cost(this.lastChosen, size) < this.policy.cost(chosen, size)) ? this.lastChosen
+		boolean reuseLast = this.lastChosen != null && replicasByRack.isEmpty() && this.lastChosen.fits(size)
+				&& !this.penaltyExponents.containsKey(size);
+		return (reuseLast && this.policy.cost(this.lastChosen, size) < this.policy.cost(chosen, size)) ? this.lastChosen
 				: chosen;
 	}
 
@@ -245,48 +246,48 @@
 	 * @param size what the task asks for
 	 * @return the cost, 0 if the size was not refused of late
 	 */
-	private double penalty(Resources size) {
-		int doubt = this.doubts.getOrDefault(size, 0);
-		return (doubt > 0) ? Math.scalb(1.0, doubt) : 0;
+	private double refusalPenalty(Resources size) {
+		int exponent = this.penaltyExponents.getOrDefault(size, 0);
+		return (exponent > 0) ? Math.scalb(1.0, exponent) : 0;
 	}
 
-	private RackEntry best(List<RackEntry> racks, int from, int to, Resources size,
+	private RackEntry lowestCost(List<RackEntry> racks, int from, int to, Resources size,
 			Map<String, Integer> replicasByRack) {
 		RackEntry best = null;
-		int fewest = 0;
-		double least = 0;
-		double penalty = penalty(size);
+		int fewestReplicas = 0;
+		double leastCost = 0;
+		double penalty = refusalPenalty(size);
 		for (int index = from; index < to; index++) {
 			RackEntry entry = racks.get(index);
 			if (!entry.fits(size)) {
 				continue;
 			}
 			int replicas = replicasByRack.getOrDefault(entry.rack(), 0);
-			if (best != null && replicas > fewest) {
+			if (best != null && replicas > fewestReplicas) {
 				continue;
 			}
-			double cost = this.policy.cost(entry, size) + ((entry.room(size) == 0) ? penalty : 0);
-			if (best == null || replicas < fewest || cost < least
-					|| (cost == least && entry.rack().compareTo(best.rack()) < 0)) {
+			double cost = this.policy.cost(entry, size) + ((entry.estimatedTaskCount(size) == 0) ? penalty : 0);
+			if (best == null || replicas < fewestReplicas || cost < leastCost
+					|| (cost == leastCost && entry.rack().compareTo(best.rack()) < 0)) {
 				best = entry;
-				fewest = replicas;
-				least = cost;
+				fewestReplicas = replicas;
+				leastCost = cost;
 			}
 		}
 		return best;
 	}
 
-	private void index() {
+	private void rebuildIndex() {
 		if (this.indexed) {
 			return;
 		}
 		this.indexed = true;
-		this.all.clear();
-		this.all.addAll(this.entries.values());
-		this.byDomain.clear();
-		this.all.forEach(
-				(entry) -> this.byDomain.computeIfAbsent(entry.summary().failureDomain(), (domain) -> new ArrayList<>())
-					.add(entry));
+		this.allEntries.clear();
+		this.allEntries.addAll(this.entries.values());
+		this.entriesByDomain.clear();
+		this.allEntries.forEach((entry) -> this.entriesByDomain
+			.computeIfAbsent(entry.summary().failureDomain(), (domain) -> new ArrayList<>())
+			.add(entry));
 	}
 
 	/**
@@ -294,7 +295,7 @@
 	 * @param rack the rack
 	 * @return the session
 	 */
-	public Optional<String> owner(String rack) {
+	public Optional<String> ownerSession(String rack) {
 		return Optional.ofNullable(this.entries.get(rack)).map((entry) -> entry.session());
 	}
 
@@ -302,7 +303,7 @@
 	 * Tell whether all known racks have heard from their workers.
 	 * @return {@code true} if there is a rack and all are settled
 	 */
-	public boolean isSettled() {
+	public boolean haveAllWorkersReported() {
 		return !this.entries.isEmpty() && this.entries.values().stream().allMatch((entry) -> entry.summary().settled());
 	}
 
@@ -320,7 +321,7 @@
 	 * Number of racks known.
 	 * @return the count
 	 */
-	public int size() {
+	public int rackCount() {
 		return this.entries.size();
 	}
 
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/queue/RackEntry.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/queue/RackEntry.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-import org.monsoonrelay.logic.placement.RackRoom;
+import org.monsoonrelay.logic.placement.RackCandidate;
 import org.monsoonrelay.logic.placement.RackSummary;
 import org.monsoonrelay.model.capacity.Resources;
 
@@ -12,9 +12,9 @@
  * chosen since, and the sizes it refused. Not thread-safe: confined to the control
  * thread.
  */
-final class RackEntry implements RackRoom {
+final class RackEntry implements RackCandidate {
 
-	private static final int REFUSED_FOR_SUMMARIES = 5;
+	private static final int REFUSAL_LIFETIME_SUMMARIES = 5;
 
 	private final String session;
 
@@ -24,19 +24,19 @@
 
 	private int largestProcessors;
 
-	private boolean asked;
+	private boolean chosenThisRound;
 
-	private final List<Refusal> refused = new ArrayList<>();
+	private final List<Refusal> refusals = new ArrayList<>();
 
-	RackEntry(String session, RackSummary summary, RackEntry before) {
+	RackEntry(String session, RackSummary summary, RackEntry previous) {
 		this.session = session;
 		this.summary = summary;
 		this.free = summary.free();
 		this.largestProcessors = summary.largestProcessors();
-		if (before != null) {
-			before.refused.stream()
-				.filter((refusal) -> refusal.holdsFor(summary.free()))
-				.forEach((refusal) -> this.refused.add(refusal.older()));
+		if (previous != null) {
+			previous.refusals.stream()
+				.filter((refusal) -> refusal.isInForce(summary.free()))
+				.forEach((refusal) -> this.refusals.add(refusal.agedByOne()));
 		}
 	}
 
@@ -46,7 +46,7 @@
 	}
 
 	private boolean hasRefused(Resources size) {
-		for (Refusal refusal : this.refused) {
+		for (Refusal refusal : this.refusals) {
 			if (size.covers(refusal.size())) {
 				return true;
 			}
@@ -55,14 +55,14 @@
 	}
 
 	@Override
-	public long room(Resources size) {
-		long byProcessors = timesOnEach(this.free.processors(), size.processors());
-		long byMemory = timesOnEach(this.free.memoryMiB(), size.memoryMiB());
-		long byAccelerators = timesOnEach(this.free.accelerators(), size.accelerators());
+	public long estimatedTaskCount(Resources size) {
+		long byProcessors = averagePerWorker(this.free.processors(), size.processors());
+		long byMemory = averagePerWorker(this.free.memoryMiB(), size.memoryMiB());
+		long byAccelerators = averagePerWorker(this.free.accelerators(), size.accelerators());
 		return this.summary.workers() * Math.min(Math.min(byProcessors, byMemory), byAccelerators);
 	}
 
-	private long timesOnEach(long sum, long size) {
+	private long averagePerWorker(long sum, long size) {
 		return (size > 0) ? sum / this.summary.workers() / size : Integer.MAX_VALUE;
 	}
 
@@ -82,20 +82,20 @@
 	}
 
 	@Override
-	public boolean isAskedThisRound() {
-		return this.asked;
+	public boolean isChosenThisRound() {
+		return this.chosenThisRound;
 	}
 
 	/**
 	 * Take room off for a choice, which asks the rack's owner in this round.
 	 * @param size what was chosen
 	 */
-	void take(Resources size) {
+	void deduct(Resources size) {
 		this.free = this.free.minus(size);
-		this.asked = true;
+		this.chosenThisRound = true;
 	}
 
-	void giveBack(Resources size) {
+	void restore(Resources size) {
 		if (capacity().covers(this.free.plus(size))) {
 			this.free = this.free.plus(size);
 		}
@@ -105,18 +105,18 @@
 	 * Note room that has come free on one worker.
 	 * @param size the room
 	 */
-	void freed(Resources size) {
-		giveBack(size);
-		this.refused.clear();
+	void addFreed(Resources size) {
+		restore(size);
+		this.refusals.clear();
 		this.largestProcessors = Math.max(this.largestProcessors, size.processors());
 	}
 
-	void refuse(Resources size) {
-		this.refused.add(new Refusal(size, this.summary.free(), 0));
+	void addRefusal(Resources size) {
+		this.refusals.add(new Refusal(size, this.summary.free(), 0));
 	}
 
 	void beginRound() {
-		this.asked = false;
+		this.chosenThisRound = false;
 	}
 
 	String session() {
@@ -134,14 +134,14 @@
 	 * @param free what the summary said was free
 	 * @param summaries how many summaries have come since
 	 */
-	private record Refusal(Resources size, Resources free, int summaries) {
+	private record Refusal(Resources size, Resources freeAtRefusal, int summariesSince) {
 
-		boolean holdsFor(Resources freeNow) {
-			return this.summaries < REFUSED_FOR_SUMMARIES && this.free.covers(freeNow);
+		boolean isInForce(Resources freeNow) {
+			return this.summariesSince < REFUSAL_LIFETIME_SUMMARIES && this.freeAtRefusal.covers(freeNow);
 		}
 
-		Refusal older() {
-			return new Refusal(this.size, this.free, this.summaries + 1);
+		Refusal agedByOne() {
+			return new Refusal(this.size, this.freeAtRefusal, this.summariesSince + 1);
 		}
 
 	}
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/queue/TeamTurn.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/queue/TeamBacklog.java
@@ -12,7 +12,7 @@
  * One team's part in a round: the jobs it has left to place and what it uses. Not
  * thread-safe: confined to the control thread.
  */
-final class TeamTurn {
+final class TeamBacklog {
 
 	private final TeamQueue queue;
 
@@ -20,7 +20,7 @@
 
 	private final Deque<Job> jobs = new ArrayDeque<>();
 
-	TeamTurn(TeamQueue queue, QuotaLedger ledger, Collection<Job> jobs) {
+	TeamBacklog(TeamQueue queue, QuotaLedger ledger, Collection<Job> jobs) {
 		this.queue = queue;
 		this.ledger = ledger;
 		this.jobs.addAll(jobs);
@@ -34,15 +34,15 @@
 		return this.ledger;
 	}
 
-	Optional<Job> next() {
+	Optional<Job> pollJob() {
 		return Optional.ofNullable(this.jobs.poll());
 	}
 
-	void again(Job job) {
+	void requeueFirst(Job job) {
 		this.jobs.addFirst(job);
 	}
 
-	boolean hasNext() {
+	boolean hasJobs() {
 		return !this.jobs.isEmpty();
 	}
 
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/queue/TeamQueue.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/queue/TeamQueue.java
@@ -22,9 +22,9 @@
 
 	private final Map<JobId, Job> jobs = new TreeMap<>();
 
-	private final Set<JobId> loading = new HashSet<>();
+	private final Set<JobId> loadingJobs = new HashSet<>();
 
-	private final Set<JobId> declaredAtFirst = new HashSet<>();
+	private final Set<JobId> initiallyDeclared = new HashSet<>();
 
 	private boolean active;
 
@@ -32,7 +32,7 @@
 		this.epoch = epoch;
 	}
 
-	Resources used() {
+	Resources usedResources() {
 		Resources used = Resources.NONE;
 		for (Job job : this.jobs.values()) {
 			used = used.plus(job.workload().size().times(job.openCount()));
@@ -45,7 +45,7 @@
 	 * then by the time since when they are ready.
 	 * @return the jobs
 	 */
-	List<Job> inOrder() {
+	List<Job> unfinishedJobsInPlacementOrder() {
 		return this.jobs.values()
 			.stream()
 			.filter((job) -> !job.isFinal())
@@ -63,17 +63,17 @@
 		return this.jobs;
 	}
 
-	Set<JobId> loading() {
-		return this.loading;
+	Set<JobId> loadingJobs() {
+		return this.loadingJobs;
 	}
 
 	/**
 	 * Note what is declared when the queue is first loaded.
 	 * @param declared the jobs of all teams
 	 */
-	void declaredBeforeLoading(Set<JobId> declared) {
-		if (this.declaredAtFirst.isEmpty()) {
-			this.declaredAtFirst.addAll(declared);
+	void recordInitiallyDeclared(Set<JobId> declared) {
+		if (this.initiallyDeclared.isEmpty()) {
+			this.initiallyDeclared.addAll(declared);
 		}
 	}
 
@@ -83,8 +83,8 @@
 	 * @param id the job
 	 * @return {@code true} if it is new
 	 */
-	boolean isNew(JobId id) {
-		return !this.declaredAtFirst.isEmpty() && !this.declaredAtFirst.contains(id);
+	boolean isDeclaredAfterLoad(JobId id) {
+		return !this.initiallyDeclared.isEmpty() && !this.initiallyDeclared.contains(id);
 	}
 
 	boolean isActive() {
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/queue/TeamScheduler.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/queue/TeamScheduler.java
@@ -31,15 +31,15 @@
  */
 final class TeamScheduler {
 
-	private static final int MAXIMUM_STARTS_A_ROUND = 4096;
+	private static final int MAXIMUM_STARTS_PER_ROUND = 4096;
 
-	private static final int MAXIMUM_STARTS_A_TURN = 32;
+	private static final int MAXIMUM_STARTS_PER_TURN = 32;
 
 	private final Placer placer;
 
 	private final RackDirectory racks;
 
-	private final JobJournal journal;
+	private final JobRecordStore store;
 
 	private final InstantSource clock;
 
@@ -47,10 +47,10 @@
 
 	private final Map<JobId, WaitReason> waitReasons = new HashMap<>();
 
-	TeamScheduler(Placer placer, RackDirectory racks, JobJournal journal, InstantSource clock) {
+	TeamScheduler(Placer placer, RackDirectory racks, JobRecordStore store, InstantSource clock) {
 		this.placer = placer;
 		this.racks = racks;
-		this.journal = journal;
+		this.store = store;
 		this.clock = clock;
 		this.preemption = new Preemption(placer, racks, clock);
 	}
@@ -69,109 +69,109 @@
 	 * @param inForce what operators have in force
 	 * @param satisfied names of workloads that are finished or up
 	 */
-	void round(Map<String, TeamQueue> queues, InForce inForce, Set<String> satisfied) {
+	void runRound(Map<String, TeamQueue> queues, InForce inForce, Set<String> satisfied) {
 		this.racks.beginRound(new WeightedRackPolicy(inForce.text().policy()));
-		this.preemption.beginRound();
-		Round round = new Round(inForce, satisfied);
-		List<TeamTurn> urgent = new ArrayList<>();
-		List<TeamTurn> others = new ArrayList<>();
+		this.preemption.recordFreedCapacity();
+		PlacementRound round = new PlacementRound(inForce, satisfied);
+		List<TeamBacklog> urgent = new ArrayList<>();
+		List<TeamBacklog> others = new ArrayList<>();
 		queues.forEach((name, queue) -> {
 			Team team = inForce.text().team(name).orElse(new Team(name, Resources.NONE, 1));
-			QuotaLedger ledger = new QuotaLedger(team, queue.used());
-			List<Job> jobs = queue.inOrder();
-			urgent.add(new TeamTurn(queue, ledger, matching(jobs, (job) -> job.workload().urgent())));
-			others.add(new TeamTurn(queue, ledger, matching(jobs, Predicate.not((job) -> job.workload().urgent()))));
+			QuotaLedger ledger = new QuotaLedger(team, queue.usedResources());
+			List<Job> jobs = queue.unfinishedJobsInPlacementOrder();
+			urgent.add(new TeamBacklog(queue, ledger, filter(jobs, (job) -> job.workload().urgent())));
+			others.add(new TeamBacklog(queue, ledger, filter(jobs, Predicate.not((job) -> job.workload().urgent()))));
 		});
-		round.inTurn(urgent, queues.values());
-		round.inTurn(others, List.of());
+		round.placeByFairShare(urgent, queues.values());
+		round.placeByFairShare(others, List.of());
 	}
 
-	private static List<Job> matching(List<Job> jobs, Predicate<Job> condition) {
+	private static List<Job> filter(List<Job> jobs, Predicate<Job> condition) {
 		return jobs.stream().filter(condition).toList();
 	}
 
 	/**
 	 * One round of placing.
 	 */
-	private final class Round {
+	private final class PlacementRound {
 
 		private final InForce inForce;
 
 		private final Set<String> satisfied;
 
-		private final Resources cell;
+		private final Resources cellCapacity;
 
-		private int budget = MAXIMUM_STARTS_A_ROUND;
+		private int remainingStarts = MAXIMUM_STARTS_PER_ROUND;
 
-		Round(InForce inForce, Set<String> satisfied) {
+		PlacementRound(InForce inForce, Set<String> satisfied) {
 			this.inForce = inForce;
 			this.satisfied = satisfied;
-			this.cell = TeamScheduler.this.racks.capacity();
+			this.cellCapacity = TeamScheduler.this.racks.capacity();
 		}
 
-		void inTurn(List<TeamTurn> teams, Iterable<TeamQueue> preemptible) {
-			PriorityQueue<TeamTurn> order = new PriorityQueue<>(
-					Comparator.comparingDouble((TeamTurn turn) -> turn.ledger().weightedShare(this.cell))
-						.thenComparing((turn) -> turn.ledger().team().name()));
-			order.addAll(teams);
+		void placeByFairShare(List<TeamBacklog> backlogs, Iterable<TeamQueue> preemptible) {
+			PriorityQueue<TeamBacklog> order = new PriorityQueue<>(Comparator
+				.comparingDouble((TeamBacklog backlog) -> backlog.ledger().weightedShare(this.cellCapacity))
+				.thenComparing((backlog) -> backlog.ledger().team().name()));
+			order.addAll(backlogs);
 			while (!order.isEmpty()) {
-				TeamTurn turn = order.poll();
-				Optional<Job> job = turn.next();
-				job.ifPresent((present) -> take(turn, present, preemptible));
-				if (turn.hasNext()) {
-					order.add(turn);
+				TeamBacklog backlog = order.poll();
+				Optional<Job> job = backlog.pollJob();
+				job.ifPresent((next) -> placeJob(backlog, next, preemptible));
+				if (backlog.hasJobs()) {
+					order.add(backlog);
 				}
 			}
 		}
 
-		private void take(TeamTurn turn, Job job, Iterable<TeamQueue> preemptible) {
-			WaitReason blocked = blockedBy(turn.queue(), job);
-			if (blocked != WaitReason.NONE || this.budget <= 0) {
-				TeamScheduler.this.waitReasons.put(job.id(), blocked);
+		private void placeJob(TeamBacklog backlog, Job job, Iterable<TeamQueue> preemptible) {
+			WaitReason reason = blockingReason(backlog.queue(), job);
+			if (reason != WaitReason.NONE || this.remainingStarts <= 0) {
+				TeamScheduler.this.waitReasons.put(job.id(), reason);
 				return;
 			}
 			Workload workload = job.workload();
-			int most = (workload.kind() == WorkloadKind.GANG) ? workload.tasks() : MAXIMUM_STARTS_A_TURN;
-			List<Integer> placeable = job.placeable(TeamScheduler.this.clock.instant(), most);
-			int fits = turn.ledger().allows(workload.size(), placeable.size());
-			int placed = TeamScheduler.this.placer.place(job, placeable.subList(0, fits));
-			turn.ledger().take(workload.size(), placed);
-			this.budget -= placed;
-			TeamScheduler.this.waitReasons.put(job.id(), reasonAfter(job, placeable.size(), fits, placed));
-			if (job.workload().urgent() && placed < fits) {
-				TeamScheduler.this.preemption.makeRoom(job, fits - placed, preemptible);
+			int maximumStarts = (workload.kind() == WorkloadKind.GANG) ? workload.tasks() : MAXIMUM_STARTS_PER_TURN;
+			List<Integer> placeable = job.placeable(TeamScheduler.this.clock.instant(), maximumStarts);
+			int allowed = backlog.ledger().allows(workload.size(), placeable.size());
+			int placed = TeamScheduler.this.placer.place(job, placeable.subList(0, allowed));
+			backlog.ledger().take(workload.size(), placed);
+			this.remainingStarts -= placed;
+			TeamScheduler.this.waitReasons.put(job.id(), waitReasonAfter(job, placeable.size(), allowed, placed));
+			if (job.workload().urgent() && placed < allowed) {
+				TeamScheduler.this.preemption.preemptFor(job, allowed - placed, preemptible);
 			}
-			if (placed == most && workload.kind() != WorkloadKind.GANG) {
-				turn.again(job);
+			if (placed == maximumStarts && workload.kind() != WorkloadKind.GANG) {
+				backlog.requeueFirst(job);
 			}
 		}
 
-		private WaitReason blockedBy(TeamQueue queue, Job job) {
+		private WaitReason blockingReason(TeamQueue queue, Job job) {
 			Workload workload = job.workload();
 			if (!this.inForce.state().permits(job.id()) || !queue.isActive()) {
 				return WaitReason.RECOVERING;
 			}
-			int together = (workload.kind() == WorkloadKind.GANG) ? workload.tasks() : 1;
-			if (!TeamScheduler.this.racks.canEverFit(workload.size(), together)) {
+			int minimumTasks = (workload.kind() == WorkloadKind.GANG) ? workload.tasks() : 1;
+			if (!TeamScheduler.this.racks.canEverFit(workload.size(), minimumTasks)) {
 				return WaitReason.NEVER_FITS;
 			}
 			if (!this.satisfied.containsAll(workload.dependsOn())) {
 				return WaitReason.DEPENDENCY;
 			}
-			if (workload.once() && !TeamScheduler.this.journal.isAvailable()) {
+			if (workload.once() && !TeamScheduler.this.store.isAvailable()) {
 				return WaitReason.PLATFORM_UNAVAILABLE;
 			}
 			return WaitReason.NONE;
 		}
 
-		private static WaitReason reasonAfter(Job job, int placeable, int fits, int placed) {
+		private static WaitReason waitReasonAfter(Job job, int placeable, int allowed, int placed) {
 			if (job.count(TaskState.IN_DOUBT) > 0) {
 				return WaitReason.WORKER_SILENT;
 			}
 			if (placeable == 0) {
 				return (job.count(TaskState.WAITING) > 0) ? WaitReason.BACKOFF : WaitReason.NONE;
 			}
-			if (fits < placeable) {
+			if (allowed < placeable) {
 				return WaitReason.QUOTA;
 			}
 			return (placed < placeable) ? WaitReason.NO_ROOM : WaitReason.NONE;
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/rack/AttemptEvents.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/rack/AttemptEvents.java
@@ -74,7 +74,7 @@
 	 */
 	void publish(AttemptEvent event, TrackedWorker slot) {
 		AttemptEvent present = this.unacknowledged.get(event.attempt());
-		if (present != null && present.kind().isEnd() && !event.kind().isEnd()) {
+		if (present != null && present.kind().isReportedByWorker() && !event.kind().isReportedByWorker()) {
 			return;
 		}
 		TrackedWorker before = this.workers.put(event.attempt(), slot);
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/fakes/FakeScheduler.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/fakes/FakeScheduler.java
@@ -15,7 +15,7 @@
 import org.monsoonrelay.logic.platform.HostList;
 import org.monsoonrelay.logic.platform.TableService;
 import org.monsoonrelay.logic.platform.WriteBudget;
-import org.monsoonrelay.logic.queue.JobJournal;
+import org.monsoonrelay.logic.queue.JobRecordStore;
 import org.monsoonrelay.logic.queue.QueueManager;
 import org.monsoonrelay.logic.queue.RackDirectory;
 import org.monsoonrelay.logic.queue.RackOwners;
@@ -45,7 +45,7 @@
 
 	private final Map<String, Integer> writeIds = new HashMap<>();
 
-	private JobJournal journal;
+	private JobRecordStore journal;
 
 	private FakeScheduler reached = this;
 
@@ -59,7 +59,7 @@
 		this.time = time;
 		this.racks = new RackManager(workers, this.control, time, time::nanos, LEASE);
 		this.queues = new QueueManager(this, this.directory, (onConflict) -> {
-			this.journal = new JobJournal(table, this.control,
+			this.journal = new JobRecordStore(table, this.control,
 					() -> name + '-' + this.writeIds.merge(name, 1, Integer::sum), onConflict,
 					new WriteBudget(time::nanos, 300));
 			return this.journal;
@@ -130,7 +130,7 @@
 		from.unacknowledgedEvents().forEach((team, events) -> {
 			if (this.queues.teams().contains(team)) {
 				List<AttemptEvent> copy = List.copyOf(events);
-				copy.forEach((event) -> this.queues.take(event, team, from::acknowledge));
+				copy.forEach((event) -> this.queues.handleEvent(event, team, from::acknowledge));
 			}
 		});
 	}
@@ -195,7 +195,7 @@
 		return this.queues;
 	}
 
-	public JobJournal journal() {
+	public JobRecordStore journal() {
 		return this.journal;
 	}
 
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/queue/AwaitedNamesTests.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/queue/AwaitedDependenciesTests.java
@@ -12,13 +12,13 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class AwaitedNamesTests {
+class AwaitedDependenciesTests {
 
-	private final AwaitedNames names = new AwaitedNames();
+	private final AwaitedDependencies dependencies = new AwaitedDependencies();
 
 	@BeforeEach
 	void declare() {
-		this.names.update(new CellText("cell", null, List.of(), List.of(), List.of(run("roster", "salons"),
+		this.dependencies.update(new CellText("cell", null, List.of(), List.of(), List.of(run("roster", "salons"),
 				run("mailing", "salons", "roster"), run("payroll", "office", "mailing")), List.of()));
 	}
 
@@ -27,23 +27,24 @@
 	}
 
 	@Test
-	void areThoseThatATeamElsewhereDependsOn() {
-		assertThat(this.names.elsewhere(Set.of("salons"), Set.of("roster", "mailing"))).containsExactly("mailing");
+	void includeNamesThatTeamsOfOtherOwnersDependOn() {
+		assertThat(this.dependencies.awaitedByOtherOwners(Set.of("salons"), Set.of("roster", "mailing")))
+			.containsExactly("mailing");
 	}
 
 	@Test
-	void areNoneWhileNothingAwaitedHasFinished() {
-		assertThat(this.names.elsewhere(Set.of("salons"), Set.of("roster"))).isEmpty();
+	void areEmptyWhileNoAwaitedWorkloadHasFinished() {
+		assertThat(this.dependencies.awaitedByOtherOwners(Set.of("salons"), Set.of("roster"))).isEmpty();
 	}
 
 	@Test
-	void doNotGrowWithWhatHasFinished() {
+	void doNotGrowWithTheNumberOfFinishedWorkloads() {
 		Set<String> finished = new TreeSet<>(Set.of("mailing"));
 		for (int run = 0; run < 10_000; run++) {
 			finished.add("run-" + run);
 		}
 
-		assertThat(this.names.elsewhere(Set.of("salons"), finished)).containsExactly("mailing");
+		assertThat(this.dependencies.awaitedByOtherOwners(Set.of("salons"), finished)).containsExactly("mailing");
 	}
 
 }
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/queue/FakeRacks.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/queue/FakeRackOwners.java
@@ -26,7 +26,7 @@
  * Racks' owners in memory with real ledgers. Requests wait in a network that is drained
  * from both ends in turn, so that two queue owners always get in each other's way.
  */
-final class FakeRacks implements RackOwners {
+final class FakeRackOwners implements RackOwners {
 
 	final Map<String, List<Worker>> workers = new TreeMap<>();
 
@@ -38,7 +38,7 @@
 
 	private final Deque<Runnable> network = new ArrayDeque<>();
 
-	void add(String domain, String rack, Resources... sizes) {
+	void addRack(String domain, String rack, Resources... sizes) {
 		this.domains.put(rack, domain);
 		List<Worker> inRack = new ArrayList<>();
 		for (Resources size : sizes) {
@@ -49,7 +49,7 @@
 		this.workers.put(rack, inRack);
 	}
 
-	boolean deliver() {
+	boolean deliverRequests() {
 		boolean delivered = !this.network.isEmpty();
 		while (!this.network.isEmpty()) {
 			this.network.pollFirst().run();
@@ -70,11 +70,11 @@
 		return summaries;
 	}
 
-	void end(AttemptId attempt) {
+	void endAttempt(AttemptId attempt) {
 		this.running.remove(attempt).release(attempt);
 	}
 
-	void lapse(Instant now) {
+	void expireReservations(Instant now) {
 		this.workers.values().forEach((inRack) -> inRack.forEach((worker) -> worker.lapse(now)));
 	}
 
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/queue/LeavingWorkerTests.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/queue/LeavingWorkerTests.java
@@ -39,7 +39,7 @@
 		this.scheduler.racks().acquireOwnership("r1", 1);
 		this.scheduler.work();
 		this.scheduler.queues().update(CellData.inForce(1, List.of(DESK), List.of(ROSTER), Set.of()));
-		this.scheduler.queues().own(CellData.TEAM, 1);
+		this.scheduler.queues().acquireOwnership(CellData.TEAM, 1);
 		this.scheduler.control().drain();
 		this.scheduler.queues().activate(CellData.TEAM);
 		this.scheduler.seconds(2);
@@ -65,14 +65,14 @@
 	}
 
 	@Test
-	void servicesRunOnWhileThereIsNoRoomElsewhere() {
+	void servicesKeepRunningWhileNoOtherWorkerHasCapacity() {
 		this.scheduler.hosts(CellData.hosts(2, CellData.worker("w1", "r1", HostState.LEAVING)));
 		this.scheduler.seconds(20);
 		assertThat(replicas()).isEqualTo(3);
 	}
 
 	@Test
-	void servicesCancelledWhileTheyAreReplacedAllStop() {
+	void servicesCancelledDuringReplacementAllStop() {
 		this.scheduler.hosts(CellData.hosts(2, CellData.worker("w1", "r1", HostState.LEAVING)));
 		this.scheduler.seconds(5);
 		this.scheduler.queues().update(CellData.inForce(2, List.of(DESK), List.of(ROSTER), Set.of("desk@service")));
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/queue/QueueOwner.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/queue/ManualQueueOwner.java
@@ -28,7 +28,7 @@
 /**
  * One queue owner whose control thread and clock are moved by hand.
  */
-final class QueueOwner {
+final class ManualQueueOwner {
 
 	static final Instant START = Instant.parse("2026-12-02T00:00:00Z");
 
@@ -40,34 +40,34 @@
 
 	final FakeTable table = new FakeTable();
 
-	private final FakeRacks racks;
+	private final FakeRackOwners racks;
 
 	private final ManualExecutor control = new ManualExecutor();
 
 	private final List<Team> teams = new ArrayList<>();
 
-	private final JobJournal journal;
+	private final JobRecordStore journal;
 
 	private final TeamScheduler scheduler;
 
-	QueueOwner(FakeRacks racks, long seed) {
+	ManualQueueOwner(FakeRackOwners racks, long seed) {
 		this.racks = racks;
 		this.directory = new RackDirectory(RandomSource.XO_RO_SHI_RO_128_PP.create(seed));
-		this.journal = new JobJournal(this.table, this.control, () -> "write", (id) -> {
+		this.journal = new JobRecordStore(this.table, this.control, () -> "write", (id) -> {
 			throw new IllegalStateException("conflict at " + id);
 		});
 		Placer placer = new Placer(racks, this.directory, this.journal, this.control, () -> this.now, (worker) -> true);
 		this.scheduler = new TeamScheduler(placer, this.directory, this.journal, () -> this.now);
 	}
 
-	void team(String name, int processors, int weight) {
+	void addTeam(String name, int processors, int weight) {
 		this.teams.add(new Team(name, new Resources(processors, processors, processors), weight));
 		TeamQueue queue = new TeamQueue(1);
 		queue.activate();
 		this.queues.put(name, queue);
 	}
 
-	Job job(String team, String name, WorkloadKind kind, int tasks, int processors, boolean once, boolean urgent) {
+	Job addJob(String team, String name, WorkloadKind kind, int tasks, int processors, boolean once, boolean urgent) {
 		Workload workload = new Workload(new JobId(name, "1"), kind, team, tasks, new Resources(processors, 1, 0), 0,
 				once, urgent, List.of(), List.of());
 		Job job = new Job(workload, JobRecord.NONE, 1, this.now);
@@ -79,15 +79,15 @@
 		this.directory.update("session", this.racks.summaries());
 	}
 
-	void round() {
+	void runRound() {
 		CellText text = new CellText("cell", PolicyWeights.EVEN, this.teams, List.of(), List.of(), List.of());
-		this.scheduler.round(this.queues, new InForce(ControlHead.NONE, ControlState.NONE, text), Set.of());
+		this.scheduler.runRound(this.queues, new InForce(ControlHead.NONE, ControlState.NONE, text), Set.of());
 		this.journal.flush();
 	}
 
-	void settle() {
+	void deliverAll() {
 		drain();
-		while (this.racks.deliver()) {
+		while (this.racks.deliverRequests()) {
 			drain();
 		}
 	}
@@ -105,13 +105,13 @@
 	/**
 	 * Let the workers tell what runs, and that stopped attempts have ended.
 	 */
-	void hearWorkers() {
+	void applyWorkerReports() {
 		for (TeamQueue queue : this.queues.values()) {
 			for (Job job : queue.jobs().values()) {
 				for (AttemptId attempt : job.openAttempts()) {
 					Worker worker = this.racks.running.get(attempt);
 					if (worker != null && this.racks.stopped.contains(attempt)) {
-						this.racks.end(attempt);
+						this.racks.endAttempt(attempt);
 						job.gone(attempt);
 					}
 					else if (worker != null) {
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/queue/CutOffDomainTests.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/queue/PartitionedDomainTests.java
@@ -27,7 +27,7 @@
 /**
  * A failure domain that is cut off from the platform and from the others, and heals.
  */
-class CutOffDomainTests {
+class PartitionedDomainTests {
 
 	private static final HostList HOSTS = CellData.hosts(1, CellData.worker("cut", "r1"),
 			CellData.worker("outside", "r2"));
@@ -38,83 +38,85 @@
 
 	private final FakeWorkers workers = new FakeWorkers();
 
-	private boolean cut;
+	private boolean partitioned;
 
-	private final TableService tableOfInside = new TableService() {
+	private final TableService insideTable = new TableService() {
 
 		@Override
 		public CompletableFuture<Optional<Row>> read(String key) {
-			return isCut() ? noAnswer() : CutOffDomainTests.this.table.read(key);
+			return isPartitioned() ? noAnswer() : PartitionedDomainTests.this.table.read(key);
 		}
 
 		@Override
 		public CompletableFuture<List<Row>> scan(String prefix, String after, int limit) {
-			return isCut() ? noAnswer() : CutOffDomainTests.this.table.scan(prefix, after, limit);
+			return isPartitioned() ? noAnswer() : PartitionedDomainTests.this.table.scan(prefix, after, limit);
 		}
 
 		@Override
 		public CompletableFuture<CommitResult> commit(List<ConditionalWrite> writes) {
-			return isCut() ? noAnswer() : CutOffDomainTests.this.table.commit(writes);
+			return isPartitioned() ? noAnswer() : PartitionedDomainTests.this.table.commit(writes);
 		}
 
 	};
 
-	private final WorkerAgents workersOfOutside = (host, command) -> (isCut() && host.name().equals("cut")) ? noAnswer()
-			: this.workers.send(host, command);
+	private final WorkerAgents outsideWorkerAgents = (host, command) -> (isPartitioned() && host.name().equals("cut"))
+			? noAnswer() : this.workers.send(host, command);
 
-	private final FakeScheduler inside = new FakeScheduler("inside", this.tableOfInside, this.workers, this.time);
+	private final FakeScheduler insideScheduler = new FakeScheduler("inside", this.insideTable, this.workers,
+			this.time);
 
-	private final FakeScheduler outside = new FakeScheduler("outside", this.table, this.workersOfOutside, this.time);
+	private final FakeScheduler outsideScheduler = new FakeScheduler("outside", this.table, this.outsideWorkerAgents,
+			this.time);
 
-	private boolean isCut() {
-		return this.cut;
+	private boolean isPartitioned() {
+		return this.partitioned;
 	}
 
 	private static <T> CompletableFuture<T> noAnswer() {
 		return CompletableFuture.failedFuture(new PlatformException("no answer", false, null));
 	}
 
-	private void own(FakeScheduler scheduler, long epoch, String... racks) {
+	private void takeOver(FakeScheduler scheduler, long epoch, String... racks) {
 		scheduler.hosts(HOSTS);
 		List.of(racks).forEach((rack) -> scheduler.racks().acquireOwnership(rack, epoch));
 		scheduler.work();
 		scheduler.queues()
 			.update(CellData.inForce(1, CellData.run("wages", 2, true), CellData.run("roster", 2, false)));
-		scheduler.queues().own(CellData.TEAM, epoch);
+		scheduler.queues().acquireOwnership(CellData.TEAM, epoch);
 		scheduler.control().drain();
 		scheduler.queues().activate(CellData.TEAM);
 	}
 
 	private Map<String, Map<TaskState, Integer>> counts(FakeScheduler scheduler) {
 		return scheduler.queues()
-			.status()
+			.jobStatuses()
 			.stream()
 			.collect(Collectors.toMap((status) -> status.id().name(), JobStatus::counts));
 	}
 
 	@Test
-	void goesOnServingItsWorkersAndRunsNothingOnceOnlyTwiceWhenItHeals() {
-		own(this.inside, 1, "r1");
-		this.inside.seconds(2);
+	void keepsServingItsWorkersAndRunsNoRunOnceTaskTwiceAfterThePartitionHeals() {
+		takeOver(this.insideScheduler, 1, "r1");
+		this.insideScheduler.seconds(2);
 		assertThat(this.workers.worker("cut").runningHere()).isEqualTo(4);
-		this.cut = true;
-		own(this.outside, 2, "r1", "r2");
-		this.outside.seconds(10);
-		assertThat(counts(this.outside).get("wages")).containsOnlyKeys(TaskState.IN_DOUBT);
-		this.inside.seconds(2);
+		this.partitioned = true;
+		takeOver(this.outsideScheduler, 2, "r1", "r2");
+		this.outsideScheduler.seconds(10);
+		assertThat(counts(this.outsideScheduler).get("wages")).containsOnlyKeys(TaskState.IN_DOUBT);
+		this.insideScheduler.seconds(2);
 		assertThat(this.workers.worker("cut").runningHere()).isEqualTo(4);
-		assertThat(counts(this.inside).get("wages")).containsOnlyKeys(TaskState.RUNNING);
+		assertThat(counts(this.insideScheduler).get("wages")).containsOnlyKeys(TaskState.RUNNING);
 		this.workers.finishAll();
-		this.inside.seconds(2);
-		this.cut = false;
-		this.outside.seconds(4);
-		this.inside.seconds(4);
-		this.outside.seconds(4);
-		assertThat(counts(this.outside).get("wages")).containsOnlyKeys(TaskState.FINISHED);
-		assertThat(counts(this.outside).get("roster")).containsOnlyKeys(TaskState.FINISHED);
+		this.insideScheduler.seconds(2);
+		this.partitioned = false;
+		this.outsideScheduler.seconds(4);
+		this.insideScheduler.seconds(4);
+		this.outsideScheduler.seconds(4);
+		assertThat(counts(this.outsideScheduler).get("wages")).containsOnlyKeys(TaskState.FINISHED);
+		assertThat(counts(this.outsideScheduler).get("roster")).containsOnlyKeys(TaskState.FINISHED);
 		assertThat(this.workers.runs()).containsEntry("wages@1/0", 1).containsEntry("wages@1/1", 1);
 		assertThat(this.workers.running()).isEmpty();
-		assertThat(this.inside.racks().summaries()).isEmpty();
+		assertThat(this.insideScheduler.racks().summaries()).isEmpty();
 	}
 
 }
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/queue/QueueRecoveryTests.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/queue/QueueRecoveryTests.java
@@ -25,7 +25,7 @@
  */
 class QueueRecoveryTests {
 
-	private static final int RACK = 8;
+	private static final int WORKERS_PER_RACK = 8;
 
 	private final ManualTime time = new ManualTime(Instant.parse("2026-06-01T00:00:00Z"));
 
@@ -36,7 +36,7 @@
 	private FakeScheduler newScheduler(long epoch, int hosts) {
 		FakeScheduler created = new FakeScheduler("scheduler-" + epoch, this.table, this.workers, this.time);
 		created.hosts(CellData.hosts(5, hosts(hosts)));
-		for (int rack = 0; rack * RACK < hosts; rack++) {
+		for (int rack = 0; rack * WORKERS_PER_RACK < hosts; rack++) {
 			created.racks().acquireOwnership("r" + rack, epoch);
 		}
 		created.work();
@@ -46,31 +46,31 @@
 	private static Host[] hosts(int count) {
 		List<Host> hosts = new ArrayList<>();
 		for (int index = 0; index < count; index++) {
-			hosts.add(CellData.worker("w" + index, "r" + index / RACK));
+			hosts.add(CellData.worker("w" + index, "r" + index / WORKERS_PER_RACK));
 		}
 		return hosts.toArray(new Host[0]);
 	}
 
 	private static void declare(FakeScheduler scheduler, long epoch, RunDeclaration... runs) {
 		scheduler.queues().update(CellData.inForce(1, runs));
-		scheduler.queues().own(CellData.TEAM, epoch);
+		scheduler.queues().acquireOwnership(CellData.TEAM, epoch);
 		scheduler.control().drain();
 		scheduler.queues().activate(CellData.TEAM);
 	}
 
 	private static Map<TaskState, Integer> counts(FakeScheduler scheduler) {
 		return scheduler.queues()
-			.status()
+			.jobStatuses()
 			.stream()
 			.flatMap((status) -> status.counts().entrySet().stream())
 			.collect(Collectors.toMap(Map.Entry::getKey, Map.Entry::getValue, Integer::sum));
 	}
 
 	@Nested
-	class ARackOwnerThatDies {
+	class ARackOwnerFailure {
 
 		@Test
-		void togetherWithAWorkerLosesNoRepeatableTask() {
+		void duringAWorkerFailureLosesNoRepeatableTask() {
 			FakeScheduler queues = newScheduler(1, 2);
 			declare(queues, 1, CellData.run("roster", 1, false));
 			queues.seconds(2);
@@ -83,7 +83,7 @@
 		}
 
 		@Test
-		void togetherWithAWorkerThatLeavesTheListLosesNoTask() {
+		void duringTheRemovalOfAWorkerLosesNoTask() {
 			FakeScheduler queues = newScheduler(1, 2);
 			declare(queues, 1, CellData.run("wages", 1, true), CellData.run("roster", 1, false));
 			queues.seconds(2);
@@ -101,7 +101,7 @@
 		}
 
 		@Test
-		void beforeItPassesAStartOnLosesNoTask() {
+		void beforeAStartIsForwardedLosesNoTask() {
 			FakeScheduler queues = newScheduler(1, 2);
 			QueueRecoveryTests.this.workers.worker("w0").setUnreachable(true);
 			QueueRecoveryTests.this.workers.worker("w1").setUnreachable(true);
@@ -119,10 +119,10 @@
 	}
 
 	@Nested
-	class AStopThatIsLost {
+	class ALostStopRequest {
 
 		@Test
-		void isSentAgainUntilTheTaskHasEnded() {
+		void isRetriedUntilTheTaskHasEnded() {
 			FakeScheduler scheduler = newScheduler(1, 2);
 			declare(scheduler, 1, CellData.run("roster", 3, false));
 			scheduler.seconds(2);
@@ -139,7 +139,7 @@
 	}
 
 	@Nested
-	class AWaveOfCancellations {
+	class ABulkCancellation {
 
 		private static final int JOBS = 10_000;
 
@@ -148,7 +148,7 @@
 		private final Set<String> all = this.runs.stream().map((run) -> run.name() + "@1").collect(Collectors.toSet());
 
 		@Test
-		void costsNoRowWritesAndNothingComesBackToLife() {
+		void writesNoRowsAndRestartsNoCancelledTask() {
 			FakeScheduler scheduler = newScheduler(1, 200);
 			declare(scheduler, 1, this.runs.toArray(new RunDeclaration[0]));
 			scheduler.seconds(3);
@@ -163,7 +163,7 @@
 			scheduler.seconds(3);
 			FakeScheduler successor = newScheduler(2, 200);
 			successor.queues().update(CellData.inForce(3, List.of(), this.runs, this.all));
-			successor.queues().own(CellData.TEAM, 2);
+			successor.queues().acquireOwnership(CellData.TEAM, 2);
 			successor.control().drain();
 			successor.queues().activate(CellData.TEAM);
 			successor.seconds(3);
@@ -176,10 +176,10 @@
 	}
 
 	@Nested
-	class AStoreOutage {
+	class ATableOutage {
 
 		@Test
-		void letsWorkRunOnPlacesRepeatableWorkAndDrainsWithinTheBudget() {
+		void stopsNoRepeatableWorkAndDrainsTheBacklogWithinTheWriteBudget() {
 			FakeScheduler scheduler = newScheduler(1, 200);
 			List<RunDeclaration> runs = new ArrayList<>(CellData.runs(2000, false));
 			runs.add(CellData.run("wages", 1, true));
@@ -192,7 +192,7 @@
 			scheduler.seconds(20);
 			assertThat(counts(scheduler)).containsEntry(TaskState.FINISHED, 2000);
 			assertThat(scheduler.queues()
-				.status()
+				.jobStatuses()
 				.stream()
 				.filter((status) -> status.id().name().equals("wages"))
 				.map(JobStatus::waitReason)).containsExactly(WaitReason.PLATFORM_UNAVAILABLE);
@@ -210,7 +210,7 @@
 		}
 
 		@Test
-		void thatKeepsOneJobFromLoadingHoldsUpNoOther() {
+		void thatBlocksLoadingOneJobDelaysNoOther() {
 			FakeScheduler scheduler = newScheduler(1, 2);
 			declare(scheduler, 1, CellData.run("roster", 1, false));
 			scheduler.seconds(2);
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/queue/RackDirectoryTests.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/queue/RackDirectoryTests.java
@@ -34,7 +34,7 @@
 	}
 
 	@Nested
-	class UnderWeights {
+	class WeightedChoice {
 
 		@BeforeEach
 		void twoRacks() {
@@ -49,17 +49,17 @@
 		}
 
 		@Test
-		void packingTakesTheFullestRackThatHasRoom() {
+		void packingPrefersTheFullestRackWithCapacity() {
 			assertThat(chosenBy(1, 3, 1)).isEqualTo("full");
 		}
 
 		@Test
-		void waitingTakesTheRackThatIsLeastLikelyToRefuse() {
+		void waitingPrefersTheRackLeastLikelyToRefuse() {
 			assertThat(chosenBy(3, 1, 1)).isEqualTo("empty");
 		}
 
 		@Test
-		void controlCostStaysWithTheRackThatIsAskedAnyway() {
+		void controlCostPrefersTheRackAlreadyChosenInTheRound() {
 			RackDirectoryTests.this.directory.beginRound(new WeightedRackPolicy(new PolicyWeights(0, 1, 100)));
 			assertThat(choose(new Resources(9, 9, 0))).isEqualTo("empty");
 
@@ -72,10 +72,10 @@
 	class ARackThatRefused {
 
 		@Test
-		void isNotAskedAgainForThatSizeBeforeItsSummaryShowsMoreRoom() {
+		void isNotChosenForThatSizeUntilItsSummaryShowsMoreFreeCapacity() {
 			List<RackSummary> summaries = List.of(rack("full", CAPACITY, 40), rack("other", CAPACITY, 80));
 			RackDirectoryTests.this.directory.update("session", summaries);
-			RackDirectoryTests.this.directory.refused("full", new Resources(2, 2, 0));
+			RackDirectoryTests.this.directory.recordRefusal("full", new Resources(2, 2, 0));
 
 			RackDirectoryTests.this.directory.update("session",
 					List.of(rack("full", CAPACITY, 39), rack("other", CAPACITY, 80)));
@@ -88,10 +88,10 @@
 		}
 
 		@Test
-		void isAskedAgainAfterAWhileAlthoughItsSummaryLooksTheSame() {
+		void isChosenAgainAfterSeveralUnchangedSummaries() {
 			List<RackSummary> summaries = List.of(rack("full", CAPACITY, 40), rack("other", CAPACITY, 80));
 			RackDirectoryTests.this.directory.update("session", summaries);
-			RackDirectoryTests.this.directory.refused("full", TASK);
+			RackDirectoryTests.this.directory.recordRefusal("full", TASK);
 
 			for (int summary = 0; summary < 6; summary++) {
 				RackDirectoryTests.this.directory.update("session", summaries);
@@ -101,7 +101,7 @@
 		}
 
 		@Test
-		void givesWayToACertainOneBeforeManyLikeItHaveRefused() {
+		void losesToARackThatCertainlyFitsAfterFewRefusals() {
 			List<RackSummary> summaries = new ArrayList<>(List.of(rack("certain", CAPACITY, 80)));
 			for (int rack = 0; rack < 200; rack++) {
 				summaries.add(rack("scattered-" + rack, CAPACITY, 7));
@@ -111,7 +111,7 @@
 
 			int refusals = 0;
 			for (String chosen = choose(TASK); !chosen.equals("certain"); chosen = choose(TASK)) {
-				RackDirectoryTests.this.directory.refused(chosen, TASK);
+				RackDirectoryTests.this.directory.recordRefusal(chosen, TASK);
 				refusals++;
 			}
 
@@ -124,7 +124,7 @@
 	class Accelerators {
 
 		@Test
-		void areLeftWithProcessorsToUseThem() {
+		void keepProcessorsFreeForTasksThatUseThem() {
 			RackDirectoryTests.this.directory.update("session",
 					List.of(rack("accelerators", new Resources(80, 80, 8), 40), rack("plain", CAPACITY, 80)));
 
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/queue/TeamSchedulerTests.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/queue/TeamSchedulerTests.java
@@ -23,32 +23,32 @@
 
 	private static final Duration TICK = Duration.ofMillis(50);
 
-	private static final Duration URGENT_STARTS_WITHIN = Duration.ofMillis(4100);
+	private static final Duration URGENT_START_LIMIT = Duration.ofMillis(4100);
 
-	private final FakeRacks racks = new FakeRacks();
+	private final FakeRackOwners racks = new FakeRackOwners();
 
 	private static Resources processors(int count) {
 		return new Resources(count, 1000, 0);
 	}
 
-	private QueueOwner owner(long seed) {
-		QueueOwner owner = new QueueOwner(this.racks, seed);
-		owner.team("crew", 1000, 1);
+	private ManualQueueOwner owner(long seed) {
+		ManualQueueOwner owner = new ManualQueueOwner(this.racks, seed);
+		owner.addTeam("crew", 1000, 1);
 		return owner;
 	}
 
-	private void step(QueueOwner... owners) {
-		for (QueueOwner owner : owners) {
+	private void runStep(ManualQueueOwner... owners) {
+		for (ManualQueueOwner owner : owners) {
 			owner.readSummaries();
-			owner.round();
+			owner.runRound();
 		}
-		while (this.racks.deliver()) {
-			List.of(owners).forEach(QueueOwner::drain);
+		while (this.racks.deliverRequests()) {
+			List.of(owners).forEach(ManualQueueOwner::drain);
 		}
-		for (QueueOwner owner : owners) {
+		for (ManualQueueOwner owner : owners) {
 			owner.drain();
 			owner.now = owner.now.plus(TICK);
-			this.racks.lapse(owner.now);
+			this.racks.expireReservations(owner.now);
 		}
 	}
 
@@ -56,25 +56,25 @@
 	class Gangs {
 
 		@Test
-		void twoThatWantTheSameRoomBothFinish() {
-			TeamSchedulerTests.this.racks.add("north", "rack-1", processors(4));
-			TeamSchedulerTests.this.racks.add("south", "rack-2", processors(4));
-			QueueOwner first = owner(1);
-			QueueOwner second = owner(2);
-			Job one = first.job("crew", "one", WorkloadKind.GANG, 7, 1, false, false);
-			Job other = second.job("crew", "other", WorkloadKind.GANG, 7, 1, false, false);
+		void twoCompetingForTheSameCapacityBothFinish() {
+			TeamSchedulerTests.this.racks.addRack("north", "rack-1", processors(4));
+			TeamSchedulerTests.this.racks.addRack("south", "rack-2", processors(4));
+			ManualQueueOwner first = owner(1);
+			ManualQueueOwner second = owner(2);
+			Job one = first.addJob("crew", "one", WorkloadKind.GANG, 7, 1, false, false);
+			Job other = second.addJob("crew", "other", WorkloadKind.GANG, 7, 1, false, false);
 
 			for (int step = 0; step < 400; step++) {
-				step(first, second);
-				finishWhole(one);
-				finishWhole(other);
+				runStep(first, second);
+				finishIfAllTasksRun(one);
+				finishIfAllTasksRun(other);
 			}
 
 			assertThat(one.counts()).isEqualTo(Map.of(TaskState.FINISHED, 7));
 			assertThat(other.counts()).isEqualTo(Map.of(TaskState.FINISHED, 7));
 		}
 
-		private void finishWhole(Job job) {
+		private void finishIfAllTasksRun(Job job) {
 			List<AttemptId> running = job.openAttempts()
 				.stream()
 				.filter(TeamSchedulerTests.this.racks.running::containsKey)
@@ -82,19 +82,19 @@
 			assertThat(running.size()).isIn(0, job.workload().tasks());
 			running.forEach((attempt) -> {
 				job.finished(attempt);
-				TeamSchedulerTests.this.racks.end(attempt);
+				TeamSchedulerTests.this.racks.endAttempt(attempt);
 			});
 		}
 
 		@Test
-		void oneThatFindsNoRoomForAllLeavesTheRoomToOthers() {
-			TeamSchedulerTests.this.racks.add("north", "rack-1", processors(4));
-			QueueOwner owner = owner(1);
-			Job gang = owner.job("crew", "gang", WorkloadKind.GANG, 5, 1, false, false);
+		void oneThatDoesNotFitLeavesCapacityToOthers() {
+			TeamSchedulerTests.this.racks.addRack("north", "rack-1", processors(4));
+			ManualQueueOwner owner = owner(1);
+			Job gang = owner.addJob("crew", "gang", WorkloadKind.GANG, 5, 1, false, false);
 			owner.now = owner.now.plus(TICK);
-			Job batch = owner.job("crew", "later", WorkloadKind.BATCH, 4, 1, false, false);
+			Job batch = owner.addJob("crew", "later", WorkloadKind.BATCH, 4, 1, false, false);
 
-			step(owner);
+			runStep(owner);
 
 			assertThat(gang.openAttempts()).isEmpty();
 			assertThat(TeamSchedulerTests.this.racks.running.keySet())
@@ -104,12 +104,12 @@
 
 		@Test
 		void oneWhoseRecordIsDurableOnlyAfterItsDeadlineStartsNothing() {
-			TeamSchedulerTests.this.racks.add("north", "rack-1", processors(4));
-			QueueOwner owner = owner(1);
-			Job wages = owner.job("crew", "wages", WorkloadKind.GANG, 4, 1, true, false);
+			TeamSchedulerTests.this.racks.addRack("north", "rack-1", processors(4));
+			ManualQueueOwner owner = owner(1);
+			Job wages = owner.addJob("crew", "wages", WorkloadKind.GANG, 4, 1, true, false);
 			owner.table.setDown(true);
-			step(owner);
-			step(owner);
+			runStep(owner);
+			runStep(owner);
 			assertThat(wages.count(TaskState.STARTING)).isEqualTo(4);
 
 			owner.now = owner.now.plusSeconds(4);
@@ -127,28 +127,28 @@
 
 		@Test
 		void shareTheCellByTheirWeights() {
-			TeamSchedulerTests.this.racks.add("north", "rack-1", processors(400));
-			QueueOwner owner = owner(1);
-			owner.team("booking", 1000, 3);
-			Job crew = owner.job("crew", "a-batch", WorkloadKind.BATCH, 1000, 1, false, false);
-			Job booking = owner.job("booking", "b-batch", WorkloadKind.BATCH, 1000, 1, false, false);
+			TeamSchedulerTests.this.racks.addRack("north", "rack-1", processors(400));
+			ManualQueueOwner owner = owner(1);
+			owner.addTeam("booking", 1000, 3);
+			Job crew = owner.addJob("crew", "a-batch", WorkloadKind.BATCH, 1000, 1, false, false);
+			Job booking = owner.addJob("booking", "b-batch", WorkloadKind.BATCH, 1000, 1, false, false);
 
-			step(owner);
+			runStep(owner);
 
 			assertThat(crew.openCount() + booking.openCount()).isEqualTo(400);
 			assertThat(booking.openCount()).isBetween(280, 320);
 		}
 
 		@Test
-		void neverGoOverTheirQuota() {
-			TeamSchedulerTests.this.racks.add("north", "rack-1", processors(400));
-			QueueOwner owner = owner(1);
-			owner.team("small", 10, 100);
-			Job first = owner.job("small", "first", WorkloadKind.BATCH, 5, 3, false, false);
-			Job second = owner.job("small", "second", WorkloadKind.BATCH, 50, 1, false, true);
+		void neverExceedTheirQuota() {
+			TeamSchedulerTests.this.racks.addRack("north", "rack-1", processors(400));
+			ManualQueueOwner owner = owner(1);
+			owner.addTeam("small", 10, 100);
+			Job first = owner.addJob("small", "first", WorkloadKind.BATCH, 5, 3, false, false);
+			Job second = owner.addJob("small", "second", WorkloadKind.BATCH, 50, 1, false, true);
 
-			step(owner);
-			step(owner);
+			runStep(owner);
+			runStep(owner);
 
 			assertThat(first.openCount() * 3 + second.openCount()).isEqualTo(10);
 			assertThat(owner.waitReason(second)).isEqualTo(WaitReason.QUOTA);
@@ -160,20 +160,20 @@
 	class UrgentWork {
 
 		@Test
-		void thatFindsNoRoomStopsBatchWorkAndStartsInTime() {
-			TeamSchedulerTests.this.racks.add("north", "rack-1", processors(4), processors(4));
-			QueueOwner owner = owner(1);
-			Job batch = owner.job("crew", "batch", WorkloadKind.BATCH, 8, 1, false, false);
-			step(owner);
-			owner.hearWorkers();
+		void withoutFreeCapacityPreemptsBatchWorkAndStartsInTime() {
+			TeamSchedulerTests.this.racks.addRack("north", "rack-1", processors(4), processors(4));
+			ManualQueueOwner owner = owner(1);
+			Job batch = owner.addJob("crew", "batch", WorkloadKind.BATCH, 8, 1, false, false);
+			runStep(owner);
+			owner.applyWorkerReports();
 			owner.now = owner.now.plusSeconds(1);
-			Job urgent = owner.job("crew", "urgent", WorkloadKind.BATCH, 1, 2, false, true);
+			Job urgent = owner.addJob("crew", "urgent", WorkloadKind.BATCH, 1, 2, false, true);
 			owner.readSummaries();
 
-			while (urgent.openCount() == 0 && owner.now.isBefore(urgent.readySince().plus(URGENT_STARTS_WITHIN))) {
-				owner.round();
-				owner.settle();
-				owner.hearWorkers();
+			while (urgent.openCount() == 0 && owner.now.isBefore(urgent.readySince().plus(URGENT_START_LIMIT))) {
+				owner.runRound();
+				owner.deliverAll();
+				owner.applyWorkerReports();
 				owner.now = owner.now.plus(TICK);
 			}
 
@@ -185,19 +185,19 @@
 		}
 
 		@Test
-		void neverStopsWorkThatMustRunOnceNorServicesNorGangs() {
-			TeamSchedulerTests.this.racks.add("north", "rack-1", processors(6));
-			QueueOwner owner = owner(1);
-			owner.job("crew", "wages", WorkloadKind.BATCH, 2, 1, true, false);
-			owner.job("crew", "desk", WorkloadKind.SERVICE, 2, 1, false, false);
-			owner.job("crew", "gang", WorkloadKind.GANG, 2, 1, false, false);
-			step(owner);
-			owner.hearWorkers();
+		void neverPreemptsRunOnceWorkServicesOrGangs() {
+			TeamSchedulerTests.this.racks.addRack("north", "rack-1", processors(6));
+			ManualQueueOwner owner = owner(1);
+			owner.addJob("crew", "wages", WorkloadKind.BATCH, 2, 1, true, false);
+			owner.addJob("crew", "desk", WorkloadKind.SERVICE, 2, 1, false, false);
+			owner.addJob("crew", "gang", WorkloadKind.GANG, 2, 1, false, false);
+			runStep(owner);
+			owner.applyWorkerReports();
 			assertThat(TeamSchedulerTests.this.racks.running).hasSize(6);
-			Job urgent = owner.job("crew", "urgent", WorkloadKind.BATCH, 1, 1, false, true);
+			Job urgent = owner.addJob("crew", "urgent", WorkloadKind.BATCH, 1, 1, false, true);
 
-			step(owner);
-			step(owner);
+			runStep(owner);
+			runStep(owner);
 
 			assertThat(TeamSchedulerTests.this.racks.stopped).isEmpty();
 			assertThat(owner.waitReason(urgent)).isEqualTo(WaitReason.NO_ROOM);
@@ -212,13 +212,13 @@
 		void spreadsAServiceOverFailureDomainsAndRacks() {
 			for (String domain : List.of("north", "south", "east")) {
 				for (int rack = 1; rack <= 30; rack++) {
-					TeamSchedulerTests.this.racks.add(domain, domain + rack, processors(8), processors(8));
+					TeamSchedulerTests.this.racks.addRack(domain, domain + rack, processors(8), processors(8));
 				}
 			}
-			QueueOwner owner = owner(1);
-			owner.job("crew", "desk", WorkloadKind.SERVICE, 30, 1, false, false);
+			ManualQueueOwner owner = owner(1);
+			owner.addJob("crew", "desk", WorkloadKind.SERVICE, 30, 1, false, false);
 
-			step(owner);
+			runStep(owner);
 
 			List<String> used = TeamSchedulerTests.this.racks.running.values()
 				.stream()
@@ -231,17 +231,17 @@
 		}
 
 		@Test
-		void refusesAtOnceWhatNoWorkerCouldEverHold() {
-			TeamSchedulerTests.this.racks.add("north", "rack-1", processors(8), processors(8));
-			QueueOwner owner = owner(1);
+		void reportsWorkThatNoWorkerCanHoldAsNeverFitting() {
+			TeamSchedulerTests.this.racks.addRack("north", "rack-1", processors(8), processors(8));
+			ManualQueueOwner owner = owner(1);
 			Host worker = new Host("rack-1-0", HostAddress.parse("127.0.0.1:1"), HostKind.WORKER, "incarnation-1",
 					"north", "rack-1", "", HostState.LIVE, processors(8));
-			owner.directory.listed(List.of(worker, worker));
-			Job tooLarge = owner.job("crew", "large", WorkloadKind.BATCH, 1, 9, false, false);
-			Job tooMany = owner.job("crew", "many", WorkloadKind.GANG, 17, 1, false, false);
-			Job fitting = owner.job("crew", "fits", WorkloadKind.BATCH, 1, 8, false, false);
+			owner.directory.updateHosts(List.of(worker, worker));
+			Job tooLarge = owner.addJob("crew", "large", WorkloadKind.BATCH, 1, 9, false, false);
+			Job tooMany = owner.addJob("crew", "many", WorkloadKind.GANG, 17, 1, false, false);
+			Job fitting = owner.addJob("crew", "fits", WorkloadKind.BATCH, 1, 8, false, false);
 
-			step(owner);
+			runStep(owner);
 
 			assertThat(owner.waitReason(tooLarge)).isEqualTo(WaitReason.NEVER_FITS);
 			assertThat(owner.waitReason(tooMany)).isEqualTo(WaitReason.NEVER_FITS);
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/rack/ProbationTests.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/rack/ProbationTests.java
@@ -33,7 +33,7 @@
 		this.scheduler.racks().acquireOwnership("r1", 1);
 		this.scheduler.work();
 		this.scheduler.queues().update(CellData.inForce(1, runs));
-		this.scheduler.queues().own(CellData.TEAM, 1);
+		this.scheduler.queues().acquireOwnership(CellData.TEAM, 1);
 		this.scheduler.control().drain();
 		this.scheduler.queues().activate(CellData.TEAM);
 	}
@@ -47,7 +47,7 @@
 
 	private Map<TaskState, Integer> counts(String job) {
 		return this.scheduler.queues()
-			.status()
+			.jobStatuses()
 			.stream()
 			.filter((status) -> status.id().name().equals(job))
 			.map(JobStatus::counts)
--- a/monsoonrelay-scheduler/src/main/java/org/monsoonrelay/scheduler/CellStatusCollector.java
+++ b/monsoonrelay-scheduler/src/main/java/org/monsoonrelay/scheduler/CellStatusCollector.java
@@ -70,7 +70,7 @@
 		processes.add(new ProcessStatus(this.session, this.settings.node().peerAddress(), SchedulerNode.ROLE,
 				this.settings.node().failureDomain(), this.tracker.inForce().head().version()));
 		Map<String, JobStatus> jobs = new TreeMap<>();
-		this.queues.status().forEach((status) -> jobs.put(status.id().toString(), status));
+		this.queues.jobStatuses().forEach((status) -> jobs.put(status.id().toString(), status));
 		List<String> missing = new ArrayList<>();
 		List<CompletableFuture<Void>> answers = new ArrayList<>();
 		for (Announcement peer : this.peers.announcements()) {
--- a/monsoonrelay-scheduler/src/main/java/org/monsoonrelay/scheduler/EventDelivery.java
+++ b/monsoonrelay-scheduler/src/main/java/org/monsoonrelay/scheduler/EventDelivery.java
@@ -51,7 +51,8 @@
 	void round() {
 		this.racks.unacknowledgedEvents().forEach((team, events) -> {
 			if (this.queues.teams().contains(team)) {
-				new ArrayList<>(events).forEach((event) -> this.queues.take(event, team, this.racks::acknowledge));
+				new ArrayList<>(events)
+					.forEach((event) -> this.queues.handleEvent(event, team, this.racks::acknowledge));
 				return;
 			}
 			Optional<HostAddress> owner = this.peers.ownerOfTeam(team).flatMap(this.peers::address);
--- a/monsoonrelay-scheduler/src/main/java/org/monsoonrelay/scheduler/PeerRackOwners.java
+++ b/monsoonrelay-scheduler/src/main/java/org/monsoonrelay/scheduler/PeerRackOwners.java
@@ -129,7 +129,7 @@
 	}
 
 	private boolean isOwn(String rack) {
-		return this.directory.owner(rack).filter(this.session::equals).isPresent();
+		return this.directory.ownerSession(rack).filter(this.session::equals).isPresent();
 	}
 
 	private CompletableFuture<Envelope> ask(String rack, Envelope.Builder body) {
@@ -145,7 +145,7 @@
 	}
 
 	private Optional<HostAddress> ownerAddress(String rack) {
-		return this.directory.owner(rack).flatMap(this.peers::address);
+		return this.directory.ownerSession(rack).flatMap(this.peers::address);
 	}
 
 }
--- a/monsoonrelay-scheduler/src/main/java/org/monsoonrelay/scheduler/SchedulerMessages.java
+++ b/monsoonrelay-scheduler/src/main/java/org/monsoonrelay/scheduler/SchedulerMessages.java
@@ -78,7 +78,7 @@
 			}
 			case ATTEMPT_EVENTS -> events(request.getAttemptEvents());
 			case STATUS_REQUEST -> now(Envelope.newBuilder()
-				.setStatusReply(StatusReply.newBuilder().setStatusJson(Json.write(this.queues.status()))));
+				.setStatusReply(StatusReply.newBuilder().setStatusJson(Json.write(this.queues.jobStatuses()))));
 			default -> empty();
 		};
 	}
@@ -98,7 +98,7 @@
 		List<AttemptEvent> acknowledged = new ArrayList<>();
 		CompletableFuture<Void> all = new CompletableFuture<>();
 		for (AttemptEvent event : events) {
-			this.queues.take(event, message.getTeam(), (done) -> {
+			this.queues.handleEvent(event, message.getTeam(), (done) -> {
 				acknowledged.add(done);
 				if (acknowledged.size() == events.size()) {
 					all.complete(null);
--- a/monsoonrelay-scheduler/src/main/java/org/monsoonrelay/scheduler/SchedulerNode.java
+++ b/monsoonrelay-scheduler/src/main/java/org/monsoonrelay/scheduler/SchedulerNode.java
@@ -39,8 +39,8 @@
 import org.monsoonrelay.logic.platform.TableKeys;
 import org.monsoonrelay.logic.platform.TableService;
 import org.monsoonrelay.logic.platform.WriteBudget;
-import org.monsoonrelay.logic.queue.AwaitedNames;
-import org.monsoonrelay.logic.queue.JobJournal;
+import org.monsoonrelay.logic.queue.AwaitedDependencies;
+import org.monsoonrelay.logic.queue.JobRecordStore;
 import org.monsoonrelay.logic.queue.QueueManager;
 import org.monsoonrelay.logic.queue.RackDirectory;
 import org.monsoonrelay.logic.rack.RackManager;
@@ -102,7 +102,7 @@
 
 	private final QueueManager queueManager;
 
-	private final AwaitedNames awaitedNames = new AwaitedNames();
+	private final AwaitedDependencies awaitedNames = new AwaitedDependencies();
 
 	private final OwnershipKeeper ownership;
 
@@ -141,7 +141,7 @@
 		this.network = new PeerNetwork(self, settings.node().secret(), this::handle);
 		PeerRackOwners owners = new PeerRackOwners(this.session, this.rackManager, this.racks, this.peers, this.network,
 				time);
-		this.queueManager = new QueueManager(owners, this.racks, (onConflict) -> new JobJournal(table, this.control,
+		this.queueManager = new QueueManager(owners, this.racks, (onConflict) -> new JobRecordStore(table, this.control,
 				() -> UUID.randomUUID().toString(), onConflict, this.rowBudget), this.control, time);
 		this.ownership = new OwnershipKeeper(
 				new SessionRecord(this.session, settings.node().failureDomain(), settings.node().peer()), table,
@@ -193,9 +193,9 @@
 		this.hostList.poll(this.network, this.settings.node().peerAddresses());
 		this.ownership.round(wanted());
 		this.rowBudget.setRowsPerSecond(Math.max(1, JOB_ROWS_PER_SECOND / this.ownership.liveCount()));
-		this.peers.dropSilent(System.nanoTime()).forEach(this.racks::drop);
+		this.peers.dropSilent(System.nanoTime()).forEach(this.racks::removeSession);
 		this.racks.update(this.session, this.rackManager.summaries());
-		this.queueManager.satisfiedElsewhere(this.peers.satisfied());
+		this.queueManager.setDependenciesSatisfiedElsewhere(this.peers.satisfied());
 		this.rackManager.sendHeartbeats();
 		announce();
 		this.activation.round(areAllRacksKnown());
@@ -209,7 +209,7 @@
 
 	private void sample() {
 		int events = this.rackManager.unacknowledgedEvents().values().stream().mapToInt(List::size).sum();
-		this.schedulerMetrics.sample(this.queueManager.teams().size(), this.queueManager.status(),
+		this.schedulerMetrics.sample(this.queueManager.teams().size(), this.queueManager.jobStatuses(),
 				WorkersRoom.of(this.rackManager.summaries()), events);
 	}
 
@@ -223,7 +223,7 @@
 			this.hosts = list;
 			this.rackManager.update(list);
 			this.queueManager.update(list);
-			this.racks.listed(list.hosts());
+			this.racks.updateHosts(list.hosts());
 		}
 	}
 
@@ -252,11 +252,11 @@
 		}
 		String team = key.substring(TableKeys.QUEUES.length());
 		if (!own) {
-			this.queueManager.disown(team);
+			this.queueManager.releaseOwnership(team);
 			this.activation.disowned(team);
 		}
 		else {
-			this.queueManager.own(team, owned.epoch());
+			this.queueManager.acquireOwnership(team, owned.epoch());
 			this.activation.owned(team);
 		}
 	}
@@ -269,7 +269,8 @@
 			.setFailureDomain(this.settings.node().failureDomain())
 			.setVersion(this.tracker.inForce().head().version())
 			.addAllTeams(this.queueManager.teams())
-			.addAllSatisfied(this.awaitedNames.elsewhere(this.queueManager.teams(), this.queueManager.satisfied()));
+			.addAllSatisfied(this.awaitedNames.awaitedByOtherOwners(this.queueManager.teams(),
+					this.queueManager.satisfiedDependencies()));
 		this.rackManager.summaries().forEach((summary) -> announcement.addRacks(PeerCodec.encode(summary)));
 		Envelope.Builder envelope = Envelope.newBuilder().setAnnouncement(announcement);
 		for (HostAddress peer : this.settings.node().peerAddresses()) {
@@ -284,7 +285,7 @@
 			.map((host) -> host.rack())
 			.distinct()
 			.count();
-		return this.racks.isSettled() && this.racks.size() >= listed;
+		return this.racks.haveAllWorkersReported() && this.racks.rackCount() >= listed;
 	}
 
 	private void claim(String team) {
@@ -309,7 +310,7 @@
 	}
 
 	private void heard(Announcement announcement) {
-		this.peers.heard(announcement, System.nanoTime()).forEach(this.racks::drop);
+		this.peers.heard(announcement, System.nanoTime()).forEach(this.racks::removeSession);
 		if (announcement.getRole().equals(ROLE)) {
 			this.racks.update(announcement.getSession(), PeerCodec.decodeSummaries(announcement.getRacksList()));
 		}
