--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/EligibilityCandidates.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/EligibilityCandidates.java
@@ -148,7 +148,8 @@
 	}
 
 	private static int freeSlots(PlacementContext turn, Collection<PoolWorker> workers) {
-		return countSlots(turn, workers, (worker) -> worker.isOpen(turn.nowNanos()) ? worker.free() : Resources.NONE);
+		return countSlots(turn, workers,
+				(worker) -> worker.isAcceptingWork(turn.nowNanos()) ? worker.free() : Resources.NONE);
 	}
 
 	private static int countSlots(PlacementContext turn, Collection<PoolWorker> workers,
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/FailureStreak.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/FailureStreak.java
@@ -16,16 +16,16 @@
 	 * failed run in fifty by the tasks' own fault, three in a row are an accident once in
 	 * 125,000 runs.
 	 */
-	static final int FAILURES_IN_ROW = 3;
+	static final int MAX_CONSECUTIVE_FAILURES = 3;
 
 	/** How long a worker is avoided, milliseconds. */
-	static final long AVOID_MILLIS = 4000;
+	static final long AVOIDANCE_MILLIS = 4000;
 
-	private static final int DIFFERENT_JOBS = 2;
+	private static final int MIN_DISTINCT_JOBS = 2;
 
 	private final Set<String> failedJobs = new HashSet<>();
 
-	private int failuresInRow;
+	private int consecutiveFailures;
 
 	private long avoidUntilNanos;
 
@@ -37,13 +37,13 @@
 	 * @param nowNanos the current time
 	 * @return {@code true} if the worker is avoided from now on
 	 */
-	boolean failed(String job, long nowNanos) {
-		this.failuresInRow++;
+	boolean recordFailure(String job, long nowNanos) {
+		this.consecutiveFailures++;
 		this.failedJobs.add(job);
-		if (this.failuresInRow < FAILURES_IN_ROW || this.failedJobs.size() < DIFFERENT_JOBS) {
+		if (this.consecutiveFailures < MAX_CONSECUTIVE_FAILURES || this.failedJobs.size() < MIN_DISTINCT_JOBS) {
 			return false;
 		}
-		avoid(nowNanos, AVOID_MILLIS);
+		avoid(nowNanos, AVOIDANCE_MILLIS);
 		return true;
 	}
 
@@ -52,8 +52,8 @@
 		this.avoidUntilNanos = nowNanos + TimeUnit.MILLISECONDS.toNanos(millis);
 	}
 
-	void succeeded() {
-		this.failuresInRow = 0;
+	void recordSuccess() {
+		this.consecutiveFailures = 0;
 		this.failedJobs.clear();
 		this.avoided = false;
 	}
@@ -62,8 +62,8 @@
 		return this.avoided && nowNanos - this.avoidUntilNanos < 0;
 	}
 
-	int failuresInRow() {
-		return this.failuresInRow;
+	int consecutiveFailures() {
+		return this.consecutiveFailures;
 	}
 
 }
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/GangReservations.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/GangReservations.java
@@ -71,7 +71,7 @@
 		int most = (limit > 0) ? limit : Integer.MAX_VALUE;
 		List<Candidate> usable = new ArrayList<>();
 		for (PoolWorker worker : allowed) {
-			if (worker.isOpen(turn.nowNanos()) && turn.matches(worker) && isAvailableToGangs(worker)) {
+			if (worker.isAcceptingWork(turn.nowNanos()) && turn.matches(worker) && isAvailableToGangs(worker)) {
 				usable.add(Candidate.of(worker, size));
 			}
 		}
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/PlacementContext.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/PlacementContext.java
@@ -38,12 +38,12 @@
 	 */
 	boolean fits(PoolWorker worker, int count) {
 		Resources size = this.step.spec().committedSize();
-		return worker.accepts((count == 1) ? size : size.times(count), this.nowNanos) && isWithinLimit(worker, count);
+		return worker.canAccept((count == 1) ? size : size.times(count), this.nowNanos) && isWithinLimit(worker, count);
 	}
 
 	private boolean isWithinLimit(PoolWorker worker, int count) {
 		int limit = this.step.spec().maximumPerWorker();
-		return limit == 0 || worker.countOf(this.step.key()) + count <= limit;
+		return limit == 0 || worker.runCountOf(this.step.key()) + count <= limit;
 	}
 
 	boolean isEligible(PoolWorker worker) {
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/PoolDependencies.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/PoolDependencies.java
@@ -17,7 +17,7 @@
  * @param log takes decisions
  * @param unreadable takes note of rows that cannot be read
  */
-public record PoolDependencies(PartitionedTable table, WorkerOrders orders, EligibilityClient eligibility,
+public record PoolDependencies(PartitionedTable table, WorkerClient orders, EligibilityClient eligibility,
 		ScheduledExecutorService control, PoolClock clock, DecisionLog log, UnreadableRows unreadable) {
 
 }
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/PoolLoadReporter.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/PoolLoadReporter.java
@@ -66,12 +66,12 @@
 		long capacity = 0;
 		long committed = 0;
 		long held = 0;
-		for (PoolWorker worker : this.pool.all()) {
-			if (worker.isOpen(nowNanos)) {
+		for (PoolWorker worker : this.pool.workers()) {
+			if (worker.isAcceptingWork(nowNanos)) {
 				workers++;
 				capacity += worker.info().capacity().processors();
-				committed += worker.committed().processors() - worker.held().processors();
-				held += worker.held().processors();
+				committed += worker.committed().processors() - worker.reserved().processors();
+				held += worker.reserved().processors();
 			}
 		}
 		int steps = 0;
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/PoolOwner.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/PoolOwner.java
@@ -111,7 +111,7 @@
 		this.lease = new OwnerLease(this.epoch, ports.clock());
 		this.lease.renewed(taken.sentNanos(), taken.sentMillis());
 		this.registry = new JobRegistry(this.epoch);
-		this.pool.inherit(taken.previous());
+		this.pool.recoverFrom(taken.previous());
 		this.stateWriter = new PoolStateWriter(ports.table(), ports.control(), this.lease, this.registry, this.pool,
 				ports.clock(), new StateWriterListener());
 		this.stateWriter.start(taken);
@@ -166,7 +166,7 @@
 	 */
 	public void updateWorkers(Collection<WorkerInfo> listed) {
 		List<PoolWorker> added = this.pool.update(listed);
-		added.forEach(this.runs::watch);
+		added.forEach(this.runs::poll);
 		this.loop.requestTurn();
 	}
 
@@ -242,7 +242,7 @@
 	private void cleanUp(long now) {
 		if (now - this.cleanedUpNanos >= TimeUnit.MILLISECONDS.toNanos(CLEANUP_INTERVAL_MILLIS)) {
 			this.cleanedUpNanos = now;
-			this.runs.expire();
+			this.runs.expireLeases();
 			this.eligibility
 				.removeIf((step) -> this.registry.job(step.job()).filter((job) -> !job.isEnded()).isEmpty());
 		}
@@ -257,10 +257,10 @@
 	}
 
 	private void checkWorkersAccounted() {
-		if (ageMillis() > OwnerLease.MAX_ORDER_VALIDITY_MILLIS / WorkerLease.SLOWEST_RATE) {
-			this.pool.forgetInherited();
+		if (ageMillis() > OwnerLease.MAX_ORDER_VALIDITY_MILLIS / WorkerLease.MIN_CLOCK_RATE) {
+			this.pool.abandonReconciliation();
 		}
-		if (!this.workersAccounted && this.pool.isAccounted()) {
+		if (!this.workersAccounted && this.pool.isFullyReconciled()) {
 			this.workersAccounted = true;
 			this.placer.markRecovered();
 			this.dependencies.log()
@@ -298,7 +298,7 @@
 			if (!owner.lease.canStartNewJobs() || !owner.stateWriter.isConfirmed(version)) {
 				owner.registry.deferStart(submission.id(), version);
 			}
-			owner.runs.learnt(submission.id());
+			owner.runs.onJobLoaded(submission.id());
 			long age = owner.dependencies.clock().millis() - submission.acceptedMillis();
 			owner.dependencies.log()
 				.write(new JobDecision.JobLearnt(submission.id(), submission.policy().queue(), age,
@@ -308,12 +308,12 @@
 		@Override
 		public void alreadyEnded(String job) {
 			PoolOwner.this.registry.addEnded(job);
-			PoolOwner.this.runs.learnt(job);
+			PoolOwner.this.runs.onJobLoaded(job);
 		}
 
 		@Override
 		public void cancelled(String job) {
-			PoolOwner.this.registry.cancel(job).ifPresent(PoolOwner.this.runs::ended);
+			PoolOwner.this.registry.cancel(job).ifPresent(PoolOwner.this.runs::onJobEnded);
 		}
 
 		@Override
@@ -343,7 +343,7 @@
 			if (!states.isEmpty() || pending.isPresent()) {
 				owner.peers.publishStates(owner.epoch, states, pending);
 			}
-			owner.runs.durable();
+			owner.runs.onTerminationsDurable();
 			PoolOwner.this.loop.requestTurn();
 		}
 
@@ -380,12 +380,12 @@
 	private final class PoolRunListener implements RunListener {
 
 		@Override
-		public void changed() {
+		public void stateChanged() {
 			PoolOwner.this.loop.requestTurn();
 		}
 
 		@Override
-		public void fenced(String worker) {
+		public void workerFenced(String worker) {
 			endTerm("worker " + worker + " obeys a later owner");
 		}
 
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/PoolStateWriter.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/PoolStateWriter.java
@@ -155,7 +155,7 @@
 			return;
 		}
 		long sinceLast = TimeUnit.NANOSECONDS.toMillis(this.clock.nanos() - this.lastSentNanos);
-		boolean hasChanges = this.jobs.hasDirty() || this.jobs.hasDeferred() || this.workers.hasUnnamed();
+		boolean hasChanges = this.jobs.hasDirty() || this.jobs.hasDeferred() || this.workers.hasUnrecordedWorkers();
 		boolean isDue = sinceLast >= OwnerLease.RENEWAL_INTERVAL_MILLIS
 				|| (hasChanges && sinceLast >= MIN_WRITE_INTERVAL_MILLIS);
 		if (isDue) {
@@ -200,9 +200,9 @@
 		if (this.releasing) {
 			this.listener.releaseStarting();
 		}
-		WorkerPool.Named named = this.workers.toName();
+		WorkerPool.RecordedWorkers named = this.workers.workersToRecord();
 		OwnerRecord next = new OwnerRecord(this.record.holder(), this.record.host(), this.record.epoch(),
-				this.record.sequence() + 1, this.releasing, named.workers(), named.closed(), this.largest,
+				this.record.sequence() + 1, this.releasing, named.workers(), named.closedWorkers(), this.largest,
 				this.standbys, this.lastWriteMillis < SLOW_WRITE_MILLIS);
 		this.confirming = this.record.confirming() || next.confirming();
 		PartitionWrite write = PartitionWrite.to(JobTables.POOL_PARTITION)
@@ -225,7 +225,7 @@
 			puts.add(new PartitionWrite.Put(JobTables.PROGRESS, JobTables.SUMMARY_KEY, Json.write(summary.get())));
 		}
 		PartitionWrite whole = new PartitionWrite(write.partition(), write.conditions(), puts, List.of());
-		Map<String, Long> ends = this.jobs.hasDirty() ? Map.of() : this.workers.processedEnds();
+		Map<String, Long> ends = this.jobs.hasDirty() ? Map.of() : this.workers.processedSequences();
 		return new Batch(whole, next, states, summary, isCountedAnew, ends);
 	}
 
@@ -289,8 +289,8 @@
 			job.markDurable(state);
 			states.put(job.id(), state);
 		});
-		this.workers.named(batch.record().workers());
-		this.workers.durable(batch.ends());
+		this.workers.markRecorded(batch.record().workers());
+		this.workers.markDurable(batch.ends());
 		if (batch.record().released()) {
 			this.closed = true;
 			this.listener.released(this.record, this.version);
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/PoolWorker.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/PoolWorker.java
@@ -26,7 +26,7 @@
 
 	private final RunSet runs = new RunSet();
 
-	private final Map<StepKey, Hold> holds = new HashMap<>();
+	private final Map<StepKey, StepReservation> reservations = new HashMap<>();
 
 	private WorkerInfo info;
 
@@ -36,33 +36,33 @@
 
 	private boolean listed = true;
 
-	private boolean reached;
+	private boolean reachable;
 
-	private boolean named;
+	private boolean recorded;
 
 	private boolean lost;
 
-	private long processedEnds;
+	private long processedSequence;
 
-	private long durableEnds;
+	private long durableSequence;
 
-	private final TreeSet<Long> takenEnds = new TreeSet<>();
+	private final TreeSet<Long> processedAhead = new TreeSet<>();
 
-	private List<EndedTask> keptEnds = List.of();
+	private List<TerminatedTask> deferredTerminations = List.of();
 
-	private long changed;
+	private long capacityVersion;
 
-	private final LongSupplier changes;
+	private final LongSupplier nextCapacityVersion;
 
-	private long orderedNanos;
+	private long requestSentNanos;
 
-	private boolean unanswered;
+	private boolean awaitingResponse;
 
-	private boolean doubted;
+	private boolean suspected;
 
-	private boolean heard;
+	private boolean hasResponded;
 
-	private long heardNanos;
+	private long lastResponseNanos;
 
 	PoolWorker(WorkerInfo info) {
 		this(info, () -> 0);
@@ -75,30 +75,30 @@
 	 */
 	PoolWorker(WorkerInfo info, LongSupplier changes) {
 		this.info = info;
-		this.changes = changes;
-		commit(Resources.NONE);
-		noteChange();
+		this.nextCapacityVersion = changes;
+		setCommitted(Resources.NONE);
+		advanceCapacityVersion();
 	}
 
 	// What is left is asked for far more often than it changes: for each waiting task of
 	// each worker.
-	private void commit(Resources next) {
+	private void setCommitted(Resources next) {
 		this.committed = next;
 		this.free = this.info.capacity().covers(next) ? this.info.capacity().minus(next) : Resources.NONE;
 	}
 
-	private void noteChange() {
-		this.changed = this.changes.getAsLong();
+	private void advanceCapacityVersion() {
+		this.capacityVersion = this.nextCapacityVersion.getAsLong();
 	}
 
 	/**
 	 * Note that an order was sent.
 	 * @param nowNanos the current time
 	 */
-	void ordered(long nowNanos) {
-		if (!this.unanswered) {
-			this.unanswered = true;
-			this.orderedNanos = nowNanos;
+	void requestSent(long nowNanos) {
+		if (!this.awaitingResponse) {
+			this.awaitingResponse = true;
+			this.requestSentNanos = nowNanos;
 		}
 	}
 
@@ -106,11 +106,11 @@
 	 * Note any answer of the worker.
 	 * @param nowNanos the current time
 	 */
-	void heard(long nowNanos) {
-		this.unanswered = false;
-		this.heard = true;
-		this.heardNanos = nowNanos;
-		doubt(false);
+	void responseReceived(long nowNanos) {
+		this.awaitingResponse = false;
+		this.hasResponded = true;
+		this.lastResponseNanos = nowNanos;
+		setSuspected(false);
 	}
 
 	/**
@@ -119,34 +119,34 @@
 	 * @return nanoseconds, 0 if no order waits
 	 */
 	long unansweredNanos(long nowNanos) {
-		return this.unanswered ? nowNanos - this.orderedNanos : 0;
+		return this.awaitingResponse ? nowNanos - this.requestSentNanos : 0;
 	}
 
-	boolean heardWithin(long nanos, long nowNanos) {
-		return this.heard && nowNanos - this.heardNanos < nanos;
+	boolean hasRespondedWithin(long nanos, long nowNanos) {
+		return this.hasResponded && nowNanos - this.lastResponseNanos < nanos;
 	}
 
 	/**
 	 * Take no new work while in doubt whether the worker can be reached.
 	 * @param isDoubted whether that is so
 	 */
-	void doubt(boolean isDoubted) {
-		if (this.doubted && !isDoubted) {
-			noteChange();
+	void setSuspected(boolean isDoubted) {
+		if (this.suspected && !isDoubted) {
+			advanceCapacityVersion();
 		}
-		this.doubted = isDoubted;
+		this.suspected = isDoubted;
 	}
 
-	boolean isDoubted() {
-		return this.doubted;
+	boolean isSuspected() {
+		return this.suspected;
 	}
 
 	/**
 	 * Number of the last change that may have made room here for what found none before.
 	 * @return the number
 	 */
-	long changed() {
-		return this.changed;
+	long capacityVersion() {
+		return this.capacityVersion;
 	}
 
 	/**
@@ -155,8 +155,8 @@
 	 * @param nowNanos the current time
 	 * @return {@code true} if there is room and the worker takes new work
 	 */
-	boolean accepts(Resources size, long nowNanos) {
-		return isOpen(nowNanos) && free().covers(size);
+	boolean canAccept(Resources size, long nowNanos) {
+		return isAcceptingWork(nowNanos) && free().covers(size);
 	}
 
 	/**
@@ -166,8 +166,8 @@
 	 * @param nowNanos the current time
 	 * @return {@code true} if so
 	 */
-	boolean isOpen(long nowNanos) {
-		return isUsable() && !this.doubted && this.named && !this.failures.isAvoided(nowNanos);
+	boolean isAcceptingWork(long nowNanos) {
+		return isUsable() && !this.suspected && this.recorded && !this.failures.isAvoided(nowNanos);
 	}
 
 	/**
@@ -176,7 +176,7 @@
 	 * @return {@code true} if so
 	 */
 	boolean isUsable() {
-		return this.reached && this.listed && !this.lost && !this.info.draining();
+		return this.reachable && this.listed && !this.lost && !this.info.draining();
 	}
 
 	/**
@@ -194,14 +194,14 @@
 	void add(Run run) {
 		release(run.task());
 		this.runs.add(run);
-		commit(this.committed.plus(run.size()));
+		setCommitted(this.committed.plus(run.size()));
 	}
 
 	Optional<Run> release(TaskKey task) {
 		Optional<Run> released = this.runs.remove(task);
 		released.ifPresent((run) -> {
-			commit(this.committed.minus(run.size()));
-			noteChange();
+			setCommitted(this.committed.minus(run.size()));
+			advanceCapacityVersion();
 		});
 		return released;
 	}
@@ -212,54 +212,54 @@
 	 * @param size the room
 	 * @param untilNanos when the hold lapses
 	 */
-	void hold(StepKey step, Resources size, long untilNanos) {
-		unhold(step);
-		this.holds.put(step, new Hold(size, untilNanos));
-		commit(this.committed.plus(size));
+	void reserve(StepKey step, Resources size, long untilNanos) {
+		cancelReservation(step);
+		this.reservations.put(step, new StepReservation(size, untilNanos));
+		setCommitted(this.committed.plus(size));
 	}
 
 	/**
 	 * Room that is kept for steps.
 	 * @return the room
 	 */
-	Resources held() {
+	Resources reserved() {
 		Resources held = Resources.NONE;
-		for (Hold hold : this.holds.values()) {
+		for (StepReservation hold : this.reservations.values()) {
 			held = held.plus(hold.size());
 		}
 		return held;
 	}
 
-	void unhold(StepKey step) {
-		if (this.holds.isEmpty()) {
+	void cancelReservation(StepKey step) {
+		if (this.reservations.isEmpty()) {
 			return;
 		}
-		Hold hold = this.holds.remove(step);
+		StepReservation hold = this.reservations.remove(step);
 		if (hold != null) {
-			commit(this.committed.minus(hold.size()));
-			noteChange();
+			setCommitted(this.committed.minus(hold.size()));
+			advanceCapacityVersion();
 		}
 	}
 
-	void lapseHolds(long nowNanos) {
-		if (this.holds.isEmpty()) {
+	void expireReservations(long nowNanos) {
+		if (this.reservations.isEmpty()) {
 			return;
 		}
 		List<StepKey> lapsed = new ArrayList<>();
-		this.holds.forEach((step, hold) -> {
+		this.reservations.forEach((step, hold) -> {
 			if (nowNanos - hold.untilNanos() > 0) {
 				lapsed.add(step);
 			}
 		});
-		lapsed.forEach(this::unhold);
+		lapsed.forEach(this::cancelReservation);
 	}
 
 	Optional<Run> run(TaskKey task) {
-		return this.runs.of(task);
+		return this.runs.find(task);
 	}
 
 	Collection<Run> runs() {
-		return this.runs.all();
+		return this.runs.runs();
 	}
 
 	/**
@@ -267,16 +267,16 @@
 	 * @param nowNanos the current time
 	 * @return milliseconds, 0 if nothing runs
 	 */
-	long emptyInMillis(long nowNanos) {
-		return this.runs.emptyInMillis(nowNanos);
+	long millisUntilIdle(long nowNanos) {
+		return this.runs.millisUntilIdle(nowNanos);
 	}
 
 	int runCount() {
 		return this.runs.size();
 	}
 
-	long countOf(StepKey step) {
-		return this.runs.countOf(step);
+	long runCountOf(StepKey step) {
+		return this.runs.runCountOf(step);
 	}
 
 	/**
@@ -284,54 +284,54 @@
 	 */
 	void markLost() {
 		this.lost = true;
-		this.reached = false;
-		this.named = false;
+		this.reachable = false;
+		this.recorded = false;
 	}
 
-	void markReached() {
-		this.reached = true;
+	void markReachable() {
+		this.reachable = true;
 		this.lost = false;
-		noteChange();
+		advanceCapacityVersion();
 	}
 
-	void markSilent() {
-		this.reached = false;
+	void markUnreachable() {
+		this.reachable = false;
 	}
 
 	void update(WorkerInfo newer) {
 		if (!this.listed || !this.info.equals(newer)) {
-			noteChange();
+			advanceCapacityVersion();
 		}
 		this.info = newer;
-		commit(this.committed);
+		setCommitted(this.committed);
 		this.listed = true;
 	}
 
-	void unlist() {
+	void markUnlisted() {
 		this.listed = false;
 	}
 
-	void markNamed() {
-		if (!this.named) {
-			noteChange();
+	void markRecorded() {
+		if (!this.recorded) {
+			advanceCapacityVersion();
 		}
-		this.named = true;
+		this.recorded = true;
 	}
 
-	void unname() {
-		this.named = false;
+	void clearRecorded() {
+		this.recorded = false;
 	}
 
-	void durable(long number) {
-		this.durableEnds = Math.max(this.durableEnds, number);
+	void markDurable(long number) {
+		this.durableSequence = Math.max(this.durableSequence, number);
 	}
 
-	boolean hasTaken(EndedTask end) {
-		return end.number() <= this.processedEnds || this.takenEnds.contains(end.number());
+	boolean hasProcessed(TerminatedTask end) {
+		return end.sequence() <= this.processedSequence || this.processedAhead.contains(end.sequence());
 	}
 
-	void taken(EndedTask end) {
-		this.takenEnds.add(end.number());
+	void markProcessed(TerminatedTask end) {
+		this.processedAhead.add(end.sequence());
 	}
 
 	/**
@@ -339,16 +339,16 @@
 	 * them count as processed.
 	 * @param ends the ends in the order of their numbers
 	 */
-	void keep(List<EndedTask> ends) {
-		this.keptEnds = List.copyOf(ends);
-		long firstKept = ends.isEmpty() ? Long.MAX_VALUE : ends.get(0).number();
-		while (!this.takenEnds.isEmpty() && this.takenEnds.first() < firstKept) {
-			this.processedEnds = this.takenEnds.pollFirst();
+	void deferTerminations(List<TerminatedTask> ends) {
+		this.deferredTerminations = List.copyOf(ends);
+		long firstKept = ends.isEmpty() ? Long.MAX_VALUE : ends.get(0).sequence();
+		while (!this.processedAhead.isEmpty() && this.processedAhead.first() < firstKept) {
+			this.processedSequence = this.processedAhead.pollFirst();
 		}
 	}
 
-	List<EndedTask> keptEnds() {
-		return this.keptEnds;
+	List<TerminatedTask> deferredTerminations() {
+		return this.deferredTerminations;
 	}
 
 	WorkerInfo info() {
@@ -367,8 +367,8 @@
 		return this.failures;
 	}
 
-	boolean isReached() {
-		return this.reached;
+	boolean isReachable() {
+		return this.reachable;
 	}
 
 	boolean isListed() {
@@ -379,15 +379,15 @@
 		return this.lost;
 	}
 
-	long processedEnds() {
-		return this.processedEnds;
+	long processedSequence() {
+		return this.processedSequence;
 	}
 
-	long durableEnds() {
-		return this.durableEnds;
+	long durableSequence() {
+		return this.durableSequence;
 	}
 
-	private record Hold(Resources size, long untilNanos) {
+	private record StepReservation(Resources size, long untilNanos) {
 
 	}
 
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/Run.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/Run.java
@@ -15,34 +15,34 @@
 
 	private final int attempt;
 
-	private final String worker;
+	private final String workerId;
 
 	private final Resources size;
 
-	private final long orderedNanos;
+	private final long requestedNanos;
 
 	private final boolean adopted;
 
 	private State state;
 
-	private long answeredNanos;
+	private long confirmedNanos;
 
-	private boolean answered;
+	private boolean confirmed;
 
 	private String checkpoint = "";
 
-	private long declaredEndNanos;
+	private long estimatedEndNanos;
 
 	private Run(TaskKey task, int attempt, String worker, Resources size, State state, long orderedNanos,
 			boolean adopted) {
 		this.task = task;
 		this.attempt = attempt;
-		this.worker = worker;
+		this.workerId = worker;
 		this.size = size;
 		this.state = state;
-		this.orderedNanos = orderedNanos;
+		this.requestedNanos = orderedNanos;
 		this.adopted = adopted;
-		this.declaredEndNanos = orderedNanos;
+		this.estimatedEndNanos = orderedNanos;
 	}
 
 	/**
@@ -54,7 +54,7 @@
 	 * @param nowNanos the current time
 	 * @return the run
 	 */
-	static Run ordered(TaskKey task, int attempt, String worker, Resources size, long nowNanos) {
+	static Run starting(TaskKey task, int attempt, String worker, Resources size, long nowNanos) {
 		return new Run(task, attempt, worker, size, State.STARTING, nowNanos, false);
 	}
 
@@ -76,16 +76,16 @@
 	 * Note how long the run is declared to take.
 	 * @param millis milliseconds from its order on
 	 */
-	void declare(long millis) {
-		this.declaredEndNanos = this.orderedNanos + TimeUnit.MILLISECONDS.toNanos(millis);
+	void setEstimateMillis(long millis) {
+		this.estimatedEndNanos = this.requestedNanos + TimeUnit.MILLISECONDS.toNanos(millis);
 	}
 
 	/**
 	 * When the run has ended by what is declared of it.
 	 * @return the time on the monotonic clock, that of its order if nothing is declared
 	 */
-	long declaredEndNanos() {
-		return this.declaredEndNanos;
+	long estimatedEndNanos() {
+		return this.estimatedEndNanos;
 	}
 
 	/**
@@ -93,8 +93,8 @@
 	 * @param nowNanos the current time
 	 */
 	void confirm(long nowNanos) {
-		this.answered = true;
-		this.answeredNanos = nowNanos;
+		this.confirmed = true;
+		this.confirmedNanos = nowNanos;
 		if (this.state == State.STARTING) {
 			this.state = State.RUNNING;
 		}
@@ -103,9 +103,9 @@
 	/**
 	 * Note that the run is to stop.
 	 */
-	void stopping() {
+	void markStopping() {
 		this.state = State.STOPPING;
-		this.answered = false;
+		this.confirmed = false;
 	}
 
 	/**
@@ -113,11 +113,11 @@
 	 * @param lookSentNanos when the look was sent
 	 * @return {@code true} if the run is over when the look shows neither
 	 */
-	boolean mustShowIn(long lookSentNanos) {
-		return this.answered && this.answeredNanos - lookSentNanos < 0;
+	boolean mustAppearInPoll(long lookSentNanos) {
+		return this.confirmed && this.confirmedNanos - lookSentNanos < 0;
 	}
 
-	void saved(String progress) {
+	void updateCheckpoint(String progress) {
 		if (!progress.isEmpty()) {
 			this.checkpoint = progress;
 		}
@@ -131,8 +131,8 @@
 		return this.attempt;
 	}
 
-	String worker() {
-		return this.worker;
+	String workerId() {
+		return this.workerId;
 	}
 
 	Resources size() {
@@ -143,8 +143,8 @@
 		return this.state;
 	}
 
-	long orderedNanos() {
-		return this.orderedNanos;
+	long requestedNanos() {
+		return this.requestedNanos;
 	}
 
 	/**
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/RunAdoption.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/RunAdoption.java
@@ -19,28 +19,28 @@
  */
 final class RunAdoption {
 
-	private static final int FULL_SHARE = 100;
+	private static final int FULL_SPEED_PERCENT = 100;
 
 	private final JobRegistry jobs;
 
-	private final TaskEnds ends;
+	private final RunTerminationHandler terminations;
 
-	private final UnknownJobs unknown;
+	private final UnknownJobs unknownJobs;
 
 	private final PoolClock clock;
 
-	private final Consumer<Run> confirm;
+	private final Consumer<Run> confirmRun;
 
-	private final BiConsumer<Run, String> stop;
+	private final BiConsumer<Run, String> stopRun;
 
-	RunAdoption(JobRegistry jobs, TaskEnds ends, UnknownJobs unknown, PoolClock clock, Consumer<Run> confirm,
-			BiConsumer<Run, String> stop) {
+	RunAdoption(JobRegistry jobs, RunTerminationHandler ends, UnknownJobs unknown, PoolClock clock,
+			Consumer<Run> confirm, BiConsumer<Run, String> stop) {
 		this.jobs = jobs;
-		this.ends = ends;
-		this.unknown = unknown;
+		this.terminations = ends;
+		this.unknownJobs = unknown;
 		this.clock = clock;
-		this.confirm = confirm;
-		this.stop = stop;
+		this.confirmRun = confirm;
+		this.stopRun = stop;
 	}
 
 	/**
@@ -51,7 +51,7 @@
 	 */
 	void reconcile(PoolWorker worker, List<RunningTask> running, long sentNanos) {
 		Set<TaskKey> listed = new HashSet<>();
-		worker.keptEnds().forEach((end) -> listed.add(end.task()));
+		worker.deferredTerminations().forEach((end) -> listed.add(end.task()));
 		for (RunningTask seen : running) {
 			listed.add(seen.task());
 			Optional<Run> known = worker.run(seen.task());
@@ -59,50 +59,50 @@
 				adopt(worker, seen);
 			}
 			else if (known.get().attempt() == seen.attempt()) {
-				known.get().saved(seen.checkpoint());
-				goesOn(known.get());
+				known.get().updateCheckpoint(seen.checkpoint());
+				reconcileKnownRun(known.get());
 			}
 		}
 		for (Run run : worker.runs()) {
-			if (!listed.contains(run.task()) && run.mustShowIn(sentNanos)) {
-				this.ends.lost(worker, run, "neither running nor ended on its worker");
+			if (!listed.contains(run.task()) && run.mustAppearInPoll(sentNanos)) {
+				this.terminations.handleLostRun(worker, run, "neither running nor ended on its worker");
 			}
 		}
 	}
 
-	private void goesOn(Run run) {
-		this.confirm.accept(run);
+	private void reconcileKnownRun(Run run) {
+		this.confirmRun.accept(run);
 		boolean isForeign = run.state() == Run.State.RUNNING && !this.jobs.isKnown(run.task().job());
-		if (isForeign && !this.unknown.isAwaited(run.task().job())) {
-			this.stop.accept(run, "its job is not known");
+		if (isForeign && !this.unknownJobs.isAwaited(run.task().job())) {
+			this.stopRun.accept(run, "its job is not known");
 		}
 	}
 
 	private void adopt(PoolWorker worker, RunningTask seen) {
 		long now = this.clock.nanos();
 		int index = seen.task().index();
-		Optional<ActiveStep> step = openStep(seen.task());
+		Optional<ActiveStep> step = findOpenStep(seen.task());
 		if (step.isEmpty()) {
-			Run foreign = Run.adopted(seen, worker.id(), this.ends.sizeOf(seen.task(), worker), now);
+			Run foreign = Run.adopted(seen, worker.id(), this.terminations.committedSize(seen.task(), worker), now);
 			worker.add(foreign);
-			if (!this.unknown.isAwaited(seen.task().job())) {
-				this.stop.accept(foreign, "its job has ended or is not known");
+			if (!this.unknownJobs.isAwaited(seen.task().job())) {
+				this.stopRun.accept(foreign, "its job has ended or is not known");
 			}
 			return;
 		}
 		Run run = Run.adopted(seen, worker.id(), step.get().spec().committedSize(), now);
-		run.saved(seen.checkpoint());
-		run.declare(step.get().spec().estimateMillis());
+		run.updateCheckpoint(seen.checkpoint());
+		run.setEstimateMillis(step.get().spec().estimateMillis());
 		worker.add(run);
 		if (step.get().progress().isDone(index) || step.get().hasRun(index)) {
-			this.stop.accept(run, "the task is done or runs elsewhere");
+			this.stopRun.accept(run, "the task is done or runs elsewhere");
 			return;
 		}
 		step.get().addRun(run);
 		step.get().job().markStarted();
 	}
 
-	private Optional<ActiveStep> openStep(TaskKey task) {
+	private Optional<ActiveStep> findOpenStep(TaskKey task) {
 		return this.jobs.openRunningStep(task.stepKey()).filter((open) -> task.index() < open.spec().count());
 	}
 
@@ -111,24 +111,27 @@
 	 * @param job the job's id
 	 * @param workers all workers
 	 */
-	void learnt(String job, Collection<PoolWorker> workers) {
-		if (!this.unknown.markKnown(job)) {
+	void onJobLoaded(String job, Collection<PoolWorker> workers) {
+		if (!this.unknownJobs.markKnown(job)) {
 			return;
 		}
 		for (PoolWorker worker : workers) {
-			this.ends.take(worker, worker.keptEnds());
-			worker.runs().stream().filter((run) -> run.task().job().equals(job)).forEach((run) -> attach(worker, run));
+			this.terminations.process(worker, worker.deferredTerminations());
+			worker.runs()
+				.stream()
+				.filter((run) -> run.task().job().equals(job))
+				.forEach((run) -> reattach(worker, run));
 		}
 	}
 
-	private void attach(PoolWorker worker, Run run) {
+	private void reattach(PoolWorker worker, Run run) {
 		if (run.state() == Run.State.STOPPING) {
-			openStep(run.task()).filter((step) -> !step.hasRun(run.task().index()))
+			findOpenStep(run.task()).filter((step) -> !step.hasRun(run.task().index()))
 				.ifPresent((step) -> step.addRun(run));
 			return;
 		}
 		worker.release(run.task());
-		adopt(worker, new RunningTask(run.task(), run.attempt(), run.checkpoint(), FULL_SHARE, 0));
+		adopt(worker, new RunningTask(run.task(), run.attempt(), run.checkpoint(), FULL_SPEED_PERCENT, 0));
 	}
 
 }
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/RunController.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/RunController.java
@@ -33,30 +33,30 @@
 	 * How long a worker may hold a look back until something ends, milliseconds. Renews
 	 * leases seven times over and finds a silent connection within two seconds.
 	 */
-	private static final long LOOK_WAIT_MILLIS = 1000;
+	private static final long POLL_WAIT_MILLIS = 1000;
 
 	/** Pause between looks at a worker that does not answer, milliseconds. */
-	private static final long SILENT_PAUSE_MILLIS = 200;
+	private static final long UNREACHABLE_RETRY_MILLIS = 200;
 
 	/** Longest pause of looks while ends wait to become durable, milliseconds. */
-	private static final long DURABLE_PAUSE_MILLIS = 250;
+	private static final long MAX_DURABILITY_WAIT_MILLIS = 250;
 
 	/**
 	 * Pause of looks while ends of a job that is not known yet are kept, milliseconds. A
 	 * worker answers at once while it lists ends.
 	 */
-	private static final long KEPT_PAUSE_MILLIS = 100;
+	private static final long DEFERRED_POLL_DELAY_MILLIS = 100;
 
 	/** Pause before an unanswered order is repeated, milliseconds. */
-	private static final long REPEAT_MILLIS = 40;
+	private static final long START_RETRY_DELAY_MILLIS = 40;
 
 	/** Unanswered starts after which the run is stopped instead. */
-	private static final int MOST_STARTS = 4;
+	private static final int MAX_START_REQUESTS = 4;
 
 	/** How long a worker that turned a start down gets no other, milliseconds. */
-	private static final long REFUSED_PAUSE_MILLIS = 500;
+	private static final long REFUSAL_BACKOFF_MILLIS = 500;
 
-	private final WorkerOrders orders;
+	private final WorkerClient workerClient;
 
 	private final OwnerLease term;
 
@@ -64,7 +64,7 @@
 
 	private final JobRegistry jobs;
 
-	private final TaskEnds ends;
+	private final RunTerminationHandler terminations;
 
 	private final RunAdoption adoption;
 
@@ -78,16 +78,16 @@
 
 	private final RunListener listener;
 
-	private final Set<String> waitingForDurable = new HashSet<>();
+	private final Set<String> awaitingDurability = new HashSet<>();
 
-	private final Map<String, Long> endsTakenNanos = new HashMap<>();
+	private final Map<String, Long> terminationsProcessedNanos = new HashMap<>();
 
 	private boolean closed;
 
-	RunController(WorkerOrders orders, OwnerLease term, WorkerPool pool, JobRegistry jobs, Predicate<String> isLoaded,
+	RunController(WorkerClient orders, OwnerLease term, WorkerPool pool, JobRegistry jobs, Predicate<String> isLoaded,
 			EligibilityTracker eligibility, ScheduledExecutorService control, PoolClock clock, DecisionLog log,
 			RunListener listener) {
-		this.orders = orders;
+		this.workerClient = orders;
 		this.term = term;
 		this.pool = pool;
 		this.jobs = jobs;
@@ -97,8 +97,8 @@
 		this.log = log;
 		this.listener = listener;
 		UnknownJobs unknown = new UnknownJobs(jobs, isLoaded, clock);
-		this.ends = new TaskEnds(jobs, unknown, log, clock, this::stop);
-		this.adoption = new RunAdoption(jobs, this.ends, unknown, clock, this::confirm, this::stop);
+		this.terminations = new RunTerminationHandler(jobs, unknown, log, clock, this::stop);
+		this.adoption = new RunAdoption(jobs, this.terminations, unknown, clock, this::confirm, this::stop);
 	}
 
 	void close() {
@@ -109,44 +109,45 @@
 	 * Look at a worker again and again.
 	 * @param worker the worker
 	 */
-	void watch(PoolWorker worker) {
+	void poll(PoolWorker worker) {
 		boolean isKnown = this.pool.worker(worker.id()).filter((known) -> known == worker).isPresent();
 		if (this.closed || !isKnown) {
-			this.endsTakenNanos.remove(worker.id());
+			this.terminationsProcessedNanos.remove(worker.id());
 			return;
 		}
 		long sentNanos = this.clock.nanos();
-		if (worker.processedEnds() <= worker.durableEnds()) {
-			Optional.ofNullable(this.endsTakenNanos.remove(worker.id()))
+		if (worker.processedSequence() <= worker.durableSequence()) {
+			Optional.ofNullable(this.terminationsProcessedNanos.remove(worker.id()))
 				.ifPresent((taken) -> this.log.measured(Measure.ACKNOWLEDGEMENT, millisSince(taken)));
 		}
-		boolean extend = worker.isReached() && this.term.canGrantLeases();
+		boolean extend = worker.isReachable() && this.term.canGrantLeases();
 		OptionalLong lease = extend ? OptionalLong.of(worker.lease().extend(sentNanos, this.term.workerLeaseMillis()))
 				: OptionalLong.empty();
-		Duration wait = Duration.ofMillis(worker.isReached() ? LOOK_WAIT_MILLIS : 0);
-		LookOrder order = new LookOrder(this.term.epoch(), worker.durableEnds(), lease, wait);
-		this.orders.look(worker.info(), order)
-			.whenComplete(OnThread.of(this.control, (outcome, failure) -> looked(worker, outcome, sentNanos)));
+		Duration wait = Duration.ofMillis(worker.isReachable() ? POLL_WAIT_MILLIS : 0);
+		PollRequest order = new PollRequest(this.term.epoch(), worker.durableSequence(), lease, wait);
+		this.workerClient.poll(worker.info(), order)
+			.whenComplete(
+					OnThread.of(this.control, (outcome, failure) -> handlePollOutcome(worker, outcome, sentNanos)));
 	}
 
-	private void looked(PoolWorker worker, LookOutcome outcome, long sentNanos) {
+	private void handlePollOutcome(PoolWorker worker, PollOutcome outcome, long sentNanos) {
 		if (this.closed) {
 			return;
 		}
-		if (outcome instanceof LookOutcome.Seen seen) {
-			seen(worker, seen, sentNanos);
+		if (outcome instanceof PollOutcome.Report seen) {
+			handleReport(worker, seen, sentNanos);
 		}
-		else if (outcome instanceof LookOutcome.Gone) {
-			this.pool.accounted(worker.id());
-			lose(worker, "another life of the worker answers");
+		else if (outcome instanceof PollOutcome.Gone) {
+			this.pool.markReconciled(worker.id());
+			markLost(worker, "another life of the worker answers");
 			this.pool.remove(worker.id());
-			this.listener.changed();
+			this.listener.stateChanged();
 		}
-		else if (outcome instanceof LookOutcome.Fenced) {
-			this.listener.fenced(worker.id());
+		else if (outcome instanceof PollOutcome.Fenced) {
+			this.listener.workerFenced(worker.id());
 		}
 		else {
-			silent(worker, (outcome instanceof LookOutcome.NoAnswer none) ? none.reason() : "no outcome");
+			handleNoAnswer(worker, (outcome instanceof PollOutcome.NoAnswer none) ? none.reason() : "no outcome");
 		}
 	}
 
@@ -154,52 +155,54 @@
 		return TimeUnit.NANOSECONDS.toMillis(this.clock.nanos() - nanos);
 	}
 
-	private void silent(PoolWorker worker, String reason) {
-		if (worker.isReached()) {
+	private void handleNoAnswer(PoolWorker worker, String reason) {
+		if (worker.isReachable()) {
 			this.log.write(new PoolDecision.WorkerSilent(worker.id(), reason, worker.runCount()));
 		}
-		worker.markSilent();
-		this.control.schedule(() -> watch(worker), SILENT_PAUSE_MILLIS, TimeUnit.MILLISECONDS);
+		worker.markUnreachable();
+		this.control.schedule(() -> poll(worker), UNREACHABLE_RETRY_MILLIS, TimeUnit.MILLISECONDS);
 	}
 
-	private void seen(PoolWorker worker, LookOutcome.Seen seen, long sentNanos) {
-		worker.lease().heard(seen.clockMillis(), this.clock.nanos());
-		worker.heard(this.clock.nanos());
-		this.ends.take(worker, seen.ended());
-		this.adoption.reconcile(worker, seen.running(), sentNanos);
-		if (!worker.isReached()) {
-			worker.markReached();
-			this.log.write(new PoolDecision.WorkerReached(worker.id(), seen.running().size()));
+	private void handleReport(PoolWorker worker, PollOutcome.Report seen, long sentNanos) {
+		worker.lease().updateClock(seen.clockMillis(), this.clock.nanos());
+		worker.responseReceived(this.clock.nanos());
+		this.terminations.process(worker, seen.terminatedTasks());
+		this.adoption.reconcile(worker, seen.runningTasks(), sentNanos);
+		if (!worker.isReachable()) {
+			worker.markReachable();
+			this.log.write(new PoolDecision.WorkerReached(worker.id(), seen.runningTasks().size()));
 		}
-		this.pool.accounted(worker.id());
-		this.listener.changed();
-		if (worker.processedEnds() > worker.durableEnds()) {
-			this.endsTakenNanos.putIfAbsent(worker.id(), this.clock.nanos());
-			this.waitingForDurable.add(worker.id());
-			this.control.schedule(() -> resume(worker.id()), DURABLE_PAUSE_MILLIS, TimeUnit.MILLISECONDS);
+		this.pool.markReconciled(worker.id());
+		this.listener.stateChanged();
+		if (worker.processedSequence() > worker.durableSequence()) {
+			this.terminationsProcessedNanos.putIfAbsent(worker.id(), this.clock.nanos());
+			this.awaitingDurability.add(worker.id());
+			this.control.schedule(() -> resumePolling(worker.id()), MAX_DURABILITY_WAIT_MILLIS, TimeUnit.MILLISECONDS);
 		}
-		else if (!worker.keptEnds().isEmpty()) {
-			this.control.schedule(() -> watch(worker), KEPT_PAUSE_MILLIS, TimeUnit.MILLISECONDS);
+		else if (!worker.deferredTerminations().isEmpty()) {
+			this.control.schedule(() -> poll(worker), DEFERRED_POLL_DELAY_MILLIS, TimeUnit.MILLISECONDS);
 		}
 		else {
-			watch(worker);
+			poll(worker);
 		}
 	}
 
 	/**
 	 * Go on with looks that waited for ends to become durable.
 	 */
-	void durable() {
-		for (String id : List.copyOf(this.waitingForDurable)) {
-			if (this.pool.worker(id).filter((worker) -> worker.processedEnds() <= worker.durableEnds()).isPresent()) {
-				resume(id);
+	void onTerminationsDurable() {
+		for (String id : List.copyOf(this.awaitingDurability)) {
+			if (this.pool.worker(id)
+				.filter((worker) -> worker.processedSequence() <= worker.durableSequence())
+				.isPresent()) {
+				resumePolling(id);
 			}
 		}
 	}
 
-	private void resume(String id) {
-		if (this.waitingForDurable.remove(id)) {
-			this.pool.worker(id).ifPresent(this::watch);
+	private void resumePolling(String id) {
+		if (this.awaitingDurability.remove(id)) {
+			this.pool.worker(id).ifPresent(this::poll);
 		}
 	}
 
@@ -207,8 +210,8 @@
 	 * Take in what workers have told of a job before it was known.
 	 * @param job the job's id
 	 */
-	void learnt(String job) {
-		this.adoption.learnt(job, this.pool.all());
+	void onJobLoaded(String job) {
+		this.adoption.onJobLoaded(job, this.pool.workers());
 	}
 
 	/**
@@ -222,48 +225,48 @@
 	void start(ActiveStep step, int index, int attempt, PoolWorker worker, String ticket) {
 		long now = this.clock.nanos();
 		TaskKey task = step.key().task(index);
-		Run run = Run.ordered(task, attempt, worker.id(), step.spec().committedSize(), now);
-		run.declare(step.spec().estimateMillis());
+		Run run = Run.starting(task, attempt, worker.id(), step.spec().committedSize(), now);
+		run.setEstimateMillis(step.spec().estimateMillis());
 		worker.add(run);
 		step.addRun(run);
 		this.log.write(new JobDecision.TaskPlaced(task.job(), task.toString(), attempt, worker.id(), this.term.epoch(),
-				worker.lease().ageMillis(now), this.ends.ageMillis(step.job())));
-		StartOrder order = new StartOrder(task, attempt, step.job().submission().spec(), 0, this.term.epoch(),
+				worker.lease().clockAgeMillis(now), this.terminations.ageMillis(step.job())));
+		RunStartRequest order = new RunStartRequest(task, attempt, step.job().submission().spec(), 0, this.term.epoch(),
 				step.progress().checkpoint(index), ticket);
 		send(step, run, worker, order, 0);
 	}
 
-	private void send(ActiveStep step, Run run, PoolWorker worker, StartOrder order, int unanswered) {
-		worker.ordered(this.clock.nanos());
+	private void send(ActiveStep step, Run run, PoolWorker worker, RunStartRequest order, int unanswered) {
+		worker.requestSent(this.clock.nanos());
 		long lease = worker.lease().extend(this.clock.nanos(), this.term.workerLeaseMillis());
-		StartOrder leased = new StartOrder(order.task(), order.attempt(), order.spec(), lease, order.fence(),
-				order.checkpoint(), order.ticket());
-		this.orders.start(worker.info(), leased).whenComplete(OnThread.of(this.control, (outcome, failure) -> {
+		RunStartRequest leased = new RunStartRequest(order.task(), order.attempt(), order.spec(), lease,
+				order.fencingToken(), order.checkpoint(), order.ticket());
+		this.workerClient.start(worker.info(), leased).whenComplete(OnThread.of(this.control, (outcome, failure) -> {
 			boolean isOver = worker.run(run.task()).filter((held) -> held == run).isEmpty();
 			if (!this.closed && !isOver) {
-				started(step, run, worker, order, outcome, unanswered);
+				handleStartOutcome(step, run, worker, order, outcome, unanswered);
 			}
 		}));
 	}
 
-	private void started(ActiveStep step, Run run, PoolWorker worker, StartOrder order, StartOutcome outcome,
-			int unanswered) {
-		if (outcome.kind().isAnswer()) {
-			worker.heard(this.clock.nanos());
+	private void handleStartOutcome(ActiveStep step, Run run, PoolWorker worker, RunStartRequest order,
+			RunRequestOutcome outcome, int unanswered) {
+		if (outcome.kind().isResponse()) {
+			worker.responseReceived(this.clock.nanos());
 		}
-		if (outcome.kind() == StartOutcome.Kind.DONE) {
-			worker.lease().heard(outcome.clockMillis(), this.clock.nanos());
-			this.log.measured(Measure.START, millisSince(run.orderedNanos()));
+		if (outcome.kind() == RunRequestOutcome.Kind.DONE) {
+			worker.lease().updateClock(outcome.clockMillis(), this.clock.nanos());
+			this.log.measured(Measure.START, millisSince(run.requestedNanos()));
 			confirm(run);
 			return;
 		}
 		this.log.write(new JobDecision.StartFailed(run.task().job(), run.task().toString(), run.attempt(), worker.id(),
 				outcome.kind().name()));
 		switch (outcome.kind()) {
-			case FENCED -> this.listener.fenced(worker.id());
-			case GONE -> looked(worker, new LookOutcome.Gone(), 0);
-			case NO_ANSWER -> unanswered(step, run, worker, order, unanswered + 1);
-			default -> refused(step, run, worker, outcome.kind(), unanswered);
+			case FENCED -> this.listener.workerFenced(worker.id());
+			case GONE -> handlePollOutcome(worker, new PollOutcome.Gone(), 0);
+			case NO_ANSWER -> retryStart(step, run, worker, order, unanswered + 1);
+			default -> handleRefusedStart(step, run, worker, outcome.kind(), unanswered);
 		}
 	}
 
@@ -274,11 +277,11 @@
 		}
 	}
 
-	private void unanswered(ActiveStep step, Run run, PoolWorker worker, StartOrder order, int unanswered) {
+	private void retryStart(ActiveStep step, Run run, PoolWorker worker, RunStartRequest order, int unanswered) {
 		if (run.state() != Run.State.STARTING) {
 			return;
 		}
-		if (unanswered >= MOST_STARTS || step.job().isEnded() || !this.term.canGrantLeases()) {
+		if (unanswered >= MAX_START_REQUESTS || step.job().isEnded() || !this.term.canGrantLeases()) {
 			stop(run, "its start stays unanswered");
 			return;
 		}
@@ -288,22 +291,23 @@
 			if (isWanted && !this.closed) {
 				send(step, run, worker, order, unanswered);
 			}
-		}, REPEAT_MILLIS, TimeUnit.MILLISECONDS);
+		}, START_RETRY_DELAY_MILLIS, TimeUnit.MILLISECONDS);
 	}
 
-	private void refused(ActiveStep step, Run run, PoolWorker worker, StartOutcome.Kind kind, int unanswered) {
+	private void handleRefusedStart(ActiveStep step, Run run, PoolWorker worker, RunRequestOutcome.Kind kind,
+			int unanswered) {
 		switch (kind) {
 			case TICKET_REFUSED -> this.eligibility.ticketRefused(step.key(), worker.id());
 			case OLD_ATTEMPT -> step.recordAttempt(run.task().index(), run.attempt() + 1);
-			default -> worker.failures().avoid(this.clock.nanos(), REFUSED_PAUSE_MILLIS);
+			default -> worker.failures().avoid(this.clock.nanos(), REFUSAL_BACKOFF_MILLIS);
 		}
 		if (unanswered > 0 || run.state() != Run.State.STARTING) {
 			// An earlier order may yet be carried out.
 			stop(run, "a repeated start was refused");
 			return;
 		}
-		this.ends.refused(worker, run);
-		this.listener.changed();
+		this.terminations.handleRefusedStart(worker, run);
+		this.listener.stateChanged();
 	}
 
 	/**
@@ -312,13 +316,13 @@
 	 * @param reason why
 	 */
 	void stop(Run run, String reason) {
-		Optional<PoolWorker> worker = this.pool.worker(run.worker());
+		Optional<PoolWorker> worker = this.pool.worker(run.workerId());
 		if (worker.isEmpty() || run.state() == Run.State.STOPPING) {
 			return;
 		}
-		run.stopping();
-		this.log.write(new JobDecision.TaskStopped(run.task().job(), run.task().toString(), run.attempt(), run.worker(),
-				reason));
+		run.markStopping();
+		this.log.write(new JobDecision.TaskStopped(run.task().job(), run.task().toString(), run.attempt(),
+				run.workerId(), reason));
 		sendStop(run, worker.get());
 	}
 
@@ -327,14 +331,14 @@
 		if (this.closed || isOver) {
 			return;
 		}
-		this.orders.stop(worker.info(), run.task(), run.attempt(), this.term.epoch())
+		this.workerClient.stop(worker.info(), run.task(), run.attempt(), this.term.epoch())
 			.whenComplete(OnThread.of(this.control, (outcome, failure) -> {
 				switch (outcome.kind()) {
 					case DONE -> run.confirm(this.clock.nanos());
-					case FENCED -> this.listener.fenced(worker.id());
-					case GONE -> looked(worker, new LookOutcome.Gone(), 0);
-					default ->
-						this.control.schedule(() -> sendStop(run, worker), SILENT_PAUSE_MILLIS, TimeUnit.MILLISECONDS);
+					case FENCED -> this.listener.workerFenced(worker.id());
+					case GONE -> handlePollOutcome(worker, new PollOutcome.Gone(), 0);
+					default -> this.control.schedule(() -> sendStop(run, worker), UNREACHABLE_RETRY_MILLIS,
+							TimeUnit.MILLISECONDS);
 				}
 			}));
 	}
@@ -343,15 +347,15 @@
 	 * Stop what runs of a job that has ended.
 	 * @param job the job
 	 */
-	void ended(SubmittedJob job) {
-		this.ends.ended(job);
+	void onJobEnded(SubmittedJob job) {
+		this.terminations.handleJobEnd(job);
 	}
 
 	/**
 	 * Send nothing more to workers that have become silent.
 	 */
-	void doubtSilent() {
-		for (PoolWorker worker : SilenceWatch.judge(this.pool.all(), this.clock.nanos())) {
+	void suspectUnresponsiveWorkers() {
+		for (PoolWorker worker : UnresponsiveWorkerDetector.updateSuspicions(this.pool.workers(), this.clock.nanos())) {
 			this.log.write(new PoolDecision.WorkerSilent(worker.id(),
 					"orders there or in its failure domain are unanswered", worker.runCount()));
 		}
@@ -360,17 +364,17 @@
 	/**
 	 * Give up workers whose lease has lapsed, and forget those that are gone for good.
 	 */
-	void expire() {
+	void expireLeases() {
 		long now = this.clock.nanos();
-		for (PoolWorker worker : List.copyOf(this.pool.all())) {
-			worker.lapseHolds(now);
-			boolean isOver = !worker.isReached() && (!worker.lease().isKnown() || worker.lease().surelyLapsed(now));
+		for (PoolWorker worker : List.copyOf(this.pool.workers())) {
+			worker.expireReservations(now);
+			boolean isOver = !worker.isReachable() && (!worker.lease().isClockKnown() || worker.lease().isExpired(now));
 			if (!isOver) {
 				continue;
 			}
-			if (worker.lease().isKnown() && !worker.isLost()) {
-				lose(worker, "its lease has lapsed");
-				this.listener.changed();
+			if (worker.lease().isClockKnown() && !worker.isLost()) {
+				markLost(worker, "its lease has lapsed");
+				this.listener.stateChanged();
 			}
 			if (!worker.isListed()) {
 				this.pool.remove(worker.id());
@@ -378,13 +382,13 @@
 		}
 	}
 
-	private void lose(PoolWorker worker, String reason) {
+	private void markLost(PoolWorker worker, String reason) {
 		if (worker.isLost()) {
 			return;
 		}
 		this.log.write(new PoolDecision.WorkerLost(worker.id(), reason, worker.runCount()));
 		for (Run run : worker.runs()) {
-			this.ends.lost(worker, run, reason);
+			this.terminations.handleLostRun(worker, run, reason);
 		}
 		worker.markLost();
 	}
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/RunListener.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/RunListener.java
@@ -8,12 +8,12 @@
 	/**
 	 * Room or progress has changed.
 	 */
-	void changed();
+	void stateChanged();
 
 	/**
 	 * A worker obeys a later owner.
 	 * @param worker the worker
 	 */
-	void fenced(String worker);
+	void workerFenced(String worker);
 
 }
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/StartOutcome.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/RunRequestOutcome.java
@@ -6,13 +6,13 @@
  * @param kind the kind of outcome
  * @param clockMillis the worker's clock, -1 if not told
  */
-public record StartOutcome(Kind kind, long clockMillis) {
+public record RunRequestOutcome(Kind kind, long clockMillis) {
 
 	/** No answer came: it may be carried out, or may yet be. */
-	public static final StartOutcome NO_ANSWER = new StartOutcome(Kind.NO_ANSWER, -1);
+	public static final RunRequestOutcome NO_ANSWER = new RunRequestOutcome(Kind.NO_ANSWER, -1);
 
 	/** No byte of it left this host: it is not carried out. */
-	public static final StartOutcome UNSENT = new StartOutcome(Kind.UNSENT, -1);
+	public static final RunRequestOutcome UNSENT = new RunRequestOutcome(Kind.UNSENT, -1);
 
 	/** Kinds of outcomes. */
 	public enum Kind {
@@ -54,7 +54,7 @@
 		 * Whether the worker has said something.
 		 * @return {@code true} if it can be reached
 		 */
-		public boolean isAnswer() {
+		public boolean isResponse() {
 			return this != UNSENT && this != NO_ANSWER;
 		}
 
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/RunSet.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/RunSet.java
@@ -19,25 +19,25 @@
 	private final Map<TaskKey, Run> runs = new HashMap<>();
 
 	// Each gang that waits asks for it in each turn; it changes only with the runs.
-	private long emptyNanos;
+	private long idleNanos;
 
-	private boolean emptyKnown;
+	private boolean idleTimeKnown;
 
 	void add(Run run) {
-		this.emptyKnown = false;
+		this.idleTimeKnown = false;
 		this.runs.put(run.task(), run);
 	}
 
 	Optional<Run> remove(TaskKey task) {
-		this.emptyKnown = false;
+		this.idleTimeKnown = false;
 		return Optional.ofNullable(this.runs.remove(task));
 	}
 
-	Optional<Run> of(TaskKey task) {
+	Optional<Run> find(TaskKey task) {
 		return Optional.ofNullable(this.runs.get(task));
 	}
 
-	List<Run> all() {
+	List<Run> runs() {
 		return List.copyOf(this.runs.values());
 	}
 
@@ -45,7 +45,7 @@
 		return this.runs.size();
 	}
 
-	long countOf(StepKey step) {
+	long runCountOf(StepKey step) {
 		return this.runs.keySet().stream().filter((task) -> task.stepKey().equals(step)).count();
 	}
 
@@ -55,22 +55,22 @@
 	 * @param nowNanos the current time
 	 * @return milliseconds until the last one has ended, 0 if there is none
 	 */
-	long emptyInMillis(long nowNanos) {
+	long millisUntilIdle(long nowNanos) {
 		if (this.runs.isEmpty()) {
 			return 0;
 		}
-		if (!this.emptyKnown) {
-			this.emptyNanos = lastDeclaredEndNanos();
-			this.emptyKnown = true;
+		if (!this.idleTimeKnown) {
+			this.idleNanos = lastEstimatedEndNanos();
+			this.idleTimeKnown = true;
 		}
-		return Math.max(0, TimeUnit.NANOSECONDS.toMillis(this.emptyNanos - nowNanos));
+		return Math.max(0, TimeUnit.NANOSECONDS.toMillis(this.idleNanos - nowNanos));
 	}
 
-	private long lastDeclaredEndNanos() {
+	private long lastEstimatedEndNanos() {
 		Iterator<Run> each = this.runs.values().iterator();
-		long last = each.next().declaredEndNanos();
+		long last = each.next().estimatedEndNanos();
 		while (each.hasNext()) {
-			long next = each.next().declaredEndNanos();
+			long next = each.next().estimatedEndNanos();
 			if (next - last > 0) {
 				last = next;
 			}
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/TaskEnds.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/RunTerminationHandler.java
@@ -22,24 +22,25 @@
  * known to have ended or can be taken not to exist. Not thread-safe: confined to the
  * control thread.
  */
-final class TaskEnds {
+final class RunTerminationHandler {
 
 	private final JobRegistry jobs;
 
-	private final UnknownJobs unknown;
+	private final UnknownJobs unknownJobs;
 
 	private final DecisionLog log;
 
 	private final PoolClock clock;
 
-	private final BiConsumer<Run, String> stop;
+	private final BiConsumer<Run, String> stopRun;
 
-	TaskEnds(JobRegistry jobs, UnknownJobs unknown, DecisionLog log, PoolClock clock, BiConsumer<Run, String> stop) {
+	RunTerminationHandler(JobRegistry jobs, UnknownJobs unknown, DecisionLog log, PoolClock clock,
+			BiConsumer<Run, String> stop) {
 		this.jobs = jobs;
-		this.unknown = unknown;
+		this.unknownJobs = unknown;
 		this.log = log;
 		this.clock = clock;
-		this.stop = stop;
+		this.stopRun = stop;
 	}
 
 	/**
@@ -48,48 +49,48 @@
 	 * @param worker the worker
 	 * @param listed the ends in the order of their numbers
 	 */
-	void take(PoolWorker worker, List<EndedTask> listed) {
-		List<EndedTask> kept = new ArrayList<>();
-		for (EndedTask end : listed) {
-			if (worker.hasTaken(end)) {
+	void process(PoolWorker worker, List<TerminatedTask> listed) {
+		List<TerminatedTask> kept = new ArrayList<>();
+		for (TerminatedTask end : listed) {
+			if (worker.hasProcessed(end)) {
 				continue;
 			}
-			if (this.unknown.isAwaited(end.task().job())) {
+			if (this.unknownJobs.isAwaited(end.task().job())) {
 				kept.add(end);
 				continue;
 			}
-			take(worker, end);
-			worker.taken(end);
+			process(worker, end);
+			worker.markProcessed(end);
 		}
-		worker.keep(kept);
+		worker.deferTerminations(kept);
 	}
 
-	private void take(PoolWorker worker, EndedTask end) {
+	private void process(PoolWorker worker, TerminatedTask end) {
 		long ranMillis = -1;
 		Run run = worker.run(end.task()).filter((held) -> held.attempt() == end.attempt()).orElse(null);
 		if (run != null) {
 			ranMillis = run.isAdopted() ? -1 : ageMillis(run);
-			if (end.kind() != EndKind.DONE) {
-				wasted(run);
+			if (end.reason() != TerminationReason.DONE) {
+				recordWaste(run);
 			}
-			clear(worker, run);
+			release(worker, run);
 		}
 		this.log.write(new JobDecision.TaskEnded(end.task().job(), end.task().toString(), end.attempt(), worker.id(),
-				end.kind().name(), ranMillis));
+				end.reason().name(), ranMillis));
 		SubmittedJob job = this.jobs.job(end.task().job()).orElse(null);
 		if (job == null || !hasTask(job, end.task())) {
 			return;
 		}
-		note(worker, end, job);
-		settle(job, end.task().stepKey(), end.kind() == EndKind.DONE);
+		recordProgress(worker, end, job);
+		updateJobState(job, end.task().stepKey(), end.reason() == TerminationReason.DONE);
 	}
 
 	private long ageMillis(Run run) {
-		return TimeUnit.NANOSECONDS.toMillis(this.clock.nanos() - run.orderedNanos());
+		return TimeUnit.NANOSECONDS.toMillis(this.clock.nanos() - run.requestedNanos());
 	}
 
 	// Of a run that another owner started only what it took since is known.
-	private void wasted(Run run) {
+	private void recordWaste(Run run) {
 		this.log.measured(Measure.WASTE, ageMillis(run) * run.size().processors());
 	}
 
@@ -99,32 +100,32 @@
 				&& task.occurrence() < job.submission().timetable().occurrences();
 	}
 
-	private void note(PoolWorker worker, EndedTask end, SubmittedJob job) {
+	private void recordProgress(PoolWorker worker, TerminatedTask end, SubmittedJob job) {
 		StepKey key = end.task().stepKey();
 		int index = end.task().index();
 		StepProgress progress = job.progress(key);
 		progress.noteAttempt(end.attempt());
 		this.jobs.step(key).ifPresent((step) -> step.recordAttempt(index, end.attempt()));
-		switch (end.kind()) {
+		switch (end.reason()) {
 			case DONE -> {
 				progress.markDone(index);
-				worker.failures().succeeded();
+				worker.failures().recordSuccess();
 			}
 			case FAILED -> {
 				progress.saveCheckpoint(index, end.checkpoint());
 				if (progress.markFailed(index, end.attempt())) {
-					failed(worker, end.task());
+					recordFailure(worker, end.task());
 				}
 			}
 			default -> progress.saveCheckpoint(index, end.checkpoint());
 		}
 	}
 
-	private void failed(PoolWorker worker, TaskKey task) {
+	private void recordFailure(PoolWorker worker, TaskKey task) {
 		this.jobs.step(task.stepKey()).ifPresent((step) -> step.recordFailure(task.index(), worker.id()));
-		if (worker.failures().failed(task.job(), this.clock.nanos())) {
-			this.log.write(new PoolDecision.WorkerAvoided(worker.id(), worker.failures().failuresInRow(),
-					FailureStreak.AVOID_MILLIS));
+		if (worker.failures().recordFailure(task.job(), this.clock.nanos())) {
+			this.log.write(new PoolDecision.WorkerAvoided(worker.id(), worker.failures().consecutiveFailures(),
+					FailureStreak.AVOIDANCE_MILLIS));
 		}
 	}
 
@@ -134,14 +135,14 @@
 	 * @param run the run
 	 * @param reason how that is known
 	 */
-	void lost(PoolWorker worker, Run run, String reason) {
-		clear(worker, run);
-		wasted(run);
+	void handleLostRun(PoolWorker worker, Run run, String reason) {
+		release(worker, run);
+		recordWaste(run);
 		TaskKey task = run.task();
 		this.log.write(new JobDecision.TaskLost(task.job(), task.toString(), run.attempt(), worker.id(), reason));
 		this.jobs.job(task.job()).filter((job) -> hasTask(job, task)).ifPresent((job) -> {
 			job.progress(task.stepKey()).saveCheckpoint(task.index(), run.checkpoint());
-			settle(job, task.stepKey(), false);
+			updateJobState(job, task.stepKey(), false);
 		});
 	}
 
@@ -150,33 +151,33 @@
 	 * @param worker the worker
 	 * @param run the run
 	 */
-	void refused(PoolWorker worker, Run run) {
-		clear(worker, run);
-		this.jobs.job(run.task().job()).ifPresent((job) -> settle(job, run.task().stepKey(), false));
+	void handleRefusedStart(PoolWorker worker, Run run) {
+		release(worker, run);
+		this.jobs.job(run.task().job()).ifPresent((job) -> updateJobState(job, run.task().stepKey(), false));
 	}
 
-	private void clear(PoolWorker worker, Run run) {
+	private void release(PoolWorker worker, Run run) {
 		worker.release(run.task());
 		this.jobs.step(run.task().stepKey()).ifPresent((step) -> step.removeRun(run));
 	}
 
-	private void settle(SubmittedJob job, StepKey key, boolean isDone) {
+	private void updateJobState(SubmittedJob job, StepKey key, boolean isDone) {
 		boolean wasEnded = job.isEnded();
 		job.settle(key);
 		this.jobs.markDirty(job);
 		if (job.isEnded() && !wasEnded) {
-			ended(job);
+			handleJobEnd(job);
 			return;
 		}
 		boolean isBroken = !isDone && job.submission().steps().get(key.step()).gang();
 		if (isBroken || job.progress(key).isComplete()) {
-			this.jobs.step(key).ifPresent((step) -> stopAll(step, isBroken));
+			this.jobs.step(key).ifPresent((step) -> stopBrokenGang(step, isBroken));
 		}
 	}
 
-	private void stopAll(ActiveStep step, boolean isBroken) {
+	private void stopBrokenGang(ActiveStep step, boolean isBroken) {
 		if (isBroken && !step.progress().isComplete()) {
-			step.activeRuns().forEach((run) -> this.stop.accept(run, "another member of its gang has ended"));
+			step.activeRuns().forEach((run) -> this.stopRun.accept(run, "another member of its gang has ended"));
 		}
 	}
 
@@ -184,12 +185,12 @@
 	 * Stop what runs of a job that has ended.
 	 * @param job the job
 	 */
-	void ended(SubmittedJob job) {
+	void handleJobEnd(SubmittedJob job) {
 		long lateMillis = this.clock.millis() - job.submission().deadlineMillis(0);
 		this.log.write(new JobDecision.JobEnded(job.id(), job.state().name(), ageMillis(job), lateMillis));
 		for (ActiveStep step : this.jobs.openStepsOf(job.id())) {
 			if (!step.progress().isComplete()) {
-				step.activeRuns().forEach((run) -> this.stop.accept(run, "its job has ended"));
+				step.activeRuns().forEach((run) -> this.stopRun.accept(run, "its job has ended"));
 			}
 		}
 	}
@@ -200,7 +201,7 @@
 	 * @param worker the worker on which it runs
 	 * @return what its job declares, all of the worker if that is not known
 	 */
-	Resources sizeOf(TaskKey task, PoolWorker worker) {
+	Resources committedSize(TaskKey task, PoolWorker worker) {
 		return this.jobs.job(task.job())
 			.filter((job) -> hasTask(job, task))
 			.map((job) -> job.submission().steps().get(task.step()).committedSize())
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/RunningTask.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/RunningTask.java
@@ -8,10 +8,10 @@
  * @param task the task
  * @param attempt the attempt
  * @param checkpoint saved progress, empty for none
- * @param sharePercent share of its speed at which it may work
+ * @param speedPercent share of its speed at which it may work
  * @param usage for a task that serves users the tail of its response times, milliseconds;
  * for others the processors in use, thousandths; -1 if not told
  */
-public record RunningTask(TaskKey task, int attempt, String checkpoint, int sharePercent, long usage) {
+public record RunningTask(TaskKey task, int attempt, String checkpoint, int speedPercent, long usage) {
 
 }
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/TaskPlacer.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/TaskPlacer.java
@@ -111,9 +111,9 @@
 	 */
 	void placeAll() {
 		long nowMillis = this.clock.millis();
-		this.runs.doubtSilent();
+		this.runs.suspectUnresponsiveWorkers();
 		this.jobs.updateSteps(nowMillis);
-		this.busy = this.pool.usedShare(this.clock.nanos()) > BUSY_POOL_SHARE;
+		this.busy = this.pool.utilization(this.clock.nanos()) > BUSY_POOL_SHARE;
 		List<QueueEntry> steps = new ArrayList<>();
 		Map<QueueEntry, PlacementContext> waiting = new HashMap<>();
 		for (ActiveStep step : this.jobs.openSteps()) {
@@ -131,7 +131,7 @@
 		steps.sort(this.order.comparator(nowMillis));
 		GangDemand demand = gangDemand(waiting.values());
 		GangReservations kept = new GangReservations(this.slackThresholdMillis,
-				(int) (this.maxReservedShare * this.pool.all().size()));
+				(int) (this.maxReservedShare * this.pool.workers().size()));
 		for (int rank = 0; rank < steps.size(); rank++) {
 			QueueEntry next = steps.get(rank);
 			PlacementContext turn = waiting.get(next);
@@ -154,10 +154,12 @@
 	// A gang starts whole, so that it waits for each of its tasks.
 	private List<Integer> startableTasks(ActiveStep step) {
 		List<Integer> open = step.waitingTasks();
-		if (open.isEmpty() || this.pool.isSeen()) {
+		if (open.isEmpty() || this.pool.hasNoUnconfirmedTasks()) {
 			return open;
 		}
-		List<Integer> sure = open.stream().filter((index) -> !this.pool.mayRunUnseen(step.key().task(index))).toList();
+		List<Integer> sure = open.stream()
+			.filter((index) -> !this.pool.mayRunUnconfirmed(step.key().task(index)))
+			.toList();
 		return (step.spec().gang() && sure.size() < open.size()) ? List.of() : sure;
 	}
 
@@ -196,8 +198,8 @@
 			.toNanos(FULL_SEARCH_INTERVAL_MILLIS);
 		boolean all = isDue || step.lastSearchedChange() < 0;
 		long since = all ? -1 : step.lastSearchedChange();
-		long changes = this.pool.changes();
-		List<PoolWorker> fitting = fittingWorkers(turn, open.and((worker) -> worker.changed() > since));
+		long changes = this.pool.capacityVersion();
+		List<PoolWorker> fitting = fittingWorkers(turn, open.and((worker) -> worker.capacityVersion() > since));
 		List<PoolWorker> usable = new ArrayList<>(fitting.stream().filter(turn::hasTicket).toList());
 		for (int index : turn.tasks()) {
 			Optional<PoolWorker> worker = this.selector.select(step, index, usable, demand);
@@ -249,7 +251,7 @@
 	// Looking at these alone, a third of a large pool, takes a third of the time.
 	private Collection<PoolWorker> eligibleWorkers(PlacementContext turn) {
 		if (!turn.policy().needsEligibility()) {
-			return this.pool.all();
+			return this.pool.workers();
 		}
 		List<PoolWorker> known = new ArrayList<>();
 		for (String id : turn.eligibility().eligibleWorkers()) {
@@ -275,7 +277,7 @@
 				return;
 			}
 			step.setHoldingCapacity(false);
-			this.pool.all().forEach((worker) -> worker.unhold(step.key()));
+			this.pool.workers().forEach((worker) -> worker.cancelReservation(step.key()));
 		}
 		List<PoolWorker> fitting = fittingWorkers(turn, kept::isAvailableToGangs);
 		Optional<Map<Integer, PoolWorker>> ready = this.gangs.plan(turn,
@@ -301,7 +303,7 @@
 			}
 		}
 		if (turn.nowNanos() - step.lastFullSearchNanos() > TimeUnit.MILLISECONDS.toNanos(FULL_SEARCH_INTERVAL_MILLIS)) {
-			step.recordFailedSearch(this.pool.changes(), turn.nowNanos());
+			step.recordFailedSearch(this.pool.capacityVersion(), turn.nowNanos());
 			request(turn, rank, () -> EligibilityRequestDraft.of(additionalCandidates(refresh(turn))));
 		}
 	}
@@ -309,7 +311,7 @@
 	private List<PoolWorker> reserveWorkers(QueueEntry next, PlacementContext turn, GangReservations kept) {
 		long spare = next.latestStartMillis() - this.clock.millis();
 		return (spare < 0) ? List.of() : kept.reserve(turn, eligibleWorkers(turn), spare - requestMillis(turn),
-				(worker) -> worker.emptyInMillis(turn.nowNanos()));
+				(worker) -> worker.millisUntilIdle(turn.nowNanos()));
 	}
 
 	private static long requestMillis(PlacementContext turn) {
@@ -336,7 +338,7 @@
 		long until = this.clock.nanos() + TimeUnit.MILLISECONDS.toNanos((long) millis);
 		ActiveStep step = turn.step();
 		step.setHoldingCapacity(true);
-		counts.forEach((worker, count) -> worker.hold(step.key(), step.spec().committedSize().times(count), until));
+		counts.forEach((worker, count) -> worker.reserve(step.key(), step.spec().committedSize().times(count), until));
 	}
 
 	private void start(PlacementContext turn, int index, int attempt, PoolWorker worker) {
@@ -360,7 +362,7 @@
 
 	private List<PoolWorker> matchingWorkers(PlacementContext turn) {
 		Resources size = turn.step().spec().committedSize();
-		return this.pool.all()
+		return this.pool.workers()
 			.stream()
 			.filter((worker) -> worker.isListed() && !worker.isLost() && !worker.info().draining())
 			.filter((worker) -> turn.matches(worker) && worker.info().capacity().covers(size))
@@ -376,7 +378,7 @@
 		long now = this.clock.nanos();
 		List<Run> alive = step.activeRuns();
 		boolean isEarly = alive.stream()
-			.anyMatch((run) -> TimeUnit.NANOSECONDS.toMillis(now - run.orderedNanos()) < share);
+			.anyMatch((run) -> TimeUnit.NANOSECONDS.toMillis(now - run.requestedNanos()) < share);
 		if (isEarly || !contextOf(step, List.of()).policy().needsEligibility()) {
 			return List.of();
 		}
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/EndKind.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/TerminationReason.java
@@ -3,7 +3,7 @@
 /**
  * How a run ended.
  */
-public enum EndKind {
+public enum TerminationReason {
 
 	/** The task has done its work. */
 	DONE,
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/SilenceWatch.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/UnresponsiveWorkerDetector.java
@@ -15,19 +15,19 @@
  * several tasks lost one to that domain for the length of the cut. A doubted worker is
  * used again with its next answer. Stateless.
  */
-final class SilenceWatch {
+final class UnresponsiveWorkerDetector {
 
 	/**
 	 * How long an order may stay unanswered, milliseconds. Workers answer within 2 ms;
 	 * this leaves room for a connection that has to be opened and for a pause of this
 	 * process.
 	 */
-	static final long UNANSWERED_MILLIS = 150;
+	static final long RESPONSE_TIMEOUT_MILLIS = 150;
 
 	/** Workers with unanswered orders from which on a failure domain is doubted. */
-	private static final int DOUBTED_OF_DOMAIN = 2;
+	private static final int MIN_UNRESPONSIVE_PER_DOMAIN = 2;
 
-	private SilenceWatch() {
+	private UnresponsiveWorkerDetector() {
 	}
 
 	/**
@@ -36,48 +36,49 @@
 	 * @param nowNanos the current time
 	 * @return those that are doubted from now on
 	 */
-	static List<PoolWorker> judge(Collection<PoolWorker> workers, long nowNanos) {
-		long limit = TimeUnit.MILLISECONDS.toNanos(UNANSWERED_MILLIS);
-		Map<String, Domain> domains = new HashMap<>();
+	static List<PoolWorker> updateSuspicions(Collection<PoolWorker> workers, long nowNanos) {
+		long limit = TimeUnit.MILLISECONDS.toNanos(RESPONSE_TIMEOUT_MILLIS);
+		Map<String, FailureDomainStatus> domains = new HashMap<>();
 		for (PoolWorker worker : workers) {
 			if (worker.unansweredNanos(nowNanos) > limit) {
-				domains.computeIfAbsent(worker.info().failureDomain(), (name) -> new Domain()).add(worker, nowNanos);
+				domains.computeIfAbsent(worker.info().failureDomain(), (name) -> new FailureDomainStatus())
+					.add(worker, nowNanos);
 			}
 		}
 		List<PoolWorker> doubted = new ArrayList<>();
 		for (PoolWorker worker : workers) {
-			Domain domain = domains.get(worker.info().failureDomain());
+			FailureDomainStatus domain = domains.get(worker.info().failureDomain());
 			boolean isDoubted = domain != null
-					&& (worker.unansweredNanos(nowNanos) > limit || domain.isSilent(workers, worker, nowNanos));
-			if (isDoubted && !worker.isDoubted()) {
+					&& (worker.unansweredNanos(nowNanos) > limit || domain.isUnresponsive(workers, worker, nowNanos));
+			if (isDoubted && !worker.isSuspected()) {
 				doubted.add(worker);
 			}
-			worker.doubt(isDoubted);
+			worker.setSuspected(isDoubted);
 		}
 		return doubted;
 	}
 
-	private static final class Domain {
+	private static final class FailureDomainStatus {
 
-		private int unanswered;
+		private int unresponsiveWorkers;
 
-		private long longestNanos;
+		private long longestUnansweredNanos;
 
-		private Boolean silent;
+		private Boolean unresponsive;
 
 		void add(PoolWorker worker, long nowNanos) {
-			this.unanswered++;
-			this.longestNanos = Math.max(this.longestNanos, worker.unansweredNanos(nowNanos));
+			this.unresponsiveWorkers++;
+			this.longestUnansweredNanos = Math.max(this.longestUnansweredNanos, worker.unansweredNanos(nowNanos));
 		}
 
-		boolean isSilent(Collection<PoolWorker> workers, PoolWorker member, long nowNanos) {
-			if (this.silent == null) {
+		boolean isUnresponsive(Collection<PoolWorker> workers, PoolWorker member, long nowNanos) {
+			if (this.unresponsive == null) {
 				String name = member.info().failureDomain();
-				this.silent = this.unanswered >= DOUBTED_OF_DOMAIN && workers.stream()
+				this.unresponsive = this.unresponsiveWorkers >= MIN_UNRESPONSIVE_PER_DOMAIN && workers.stream()
 					.filter((worker) -> worker.info().failureDomain().equals(name))
-					.noneMatch((worker) -> worker.heardWithin(this.longestNanos, nowNanos));
+					.noneMatch((worker) -> worker.hasRespondedWithin(this.longestUnansweredNanos, nowNanos));
 			}
-			return this.silent;
+			return this.unresponsive;
 		}
 
 	}
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/WorkerOrders.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/WorkerClient.java
@@ -8,7 +8,7 @@
  * Orders to workers. Futures never fail: a call without a usable answer says so in its
  * outcome. Implementations are thread-safe.
  */
-public interface WorkerOrders {
+public interface WorkerClient {
 
 	/**
 	 * Look at a worker.
@@ -16,7 +16,7 @@
 	 * @param order what to tell it
 	 * @return what it told
 	 */
-	CompletableFuture<LookOutcome> look(WorkerInfo worker, LookOrder order);
+	CompletableFuture<PollOutcome> poll(WorkerInfo worker, PollRequest order);
 
 	/**
 	 * Start a run. Repeating an order is harmless.
@@ -24,7 +24,7 @@
 	 * @param order what to start
 	 * @return what came of it
 	 */
-	CompletableFuture<StartOutcome> start(WorkerInfo worker, StartOrder order);
+	CompletableFuture<RunRequestOutcome> start(WorkerInfo worker, RunStartRequest order);
 
 	/**
 	 * Stop a run, or keep it from starting if it is not there yet.
@@ -34,6 +34,6 @@
 	 * @param fence the owner's fencing token
 	 * @return what came of it
 	 */
-	CompletableFuture<StartOutcome> stop(WorkerInfo worker, TaskKey task, int attempt, long fence);
+	CompletableFuture<RunRequestOutcome> stop(WorkerInfo worker, TaskKey task, int attempt, long fence);
 
 }
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/WorkerInfo.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/WorkerInfo.java
@@ -32,7 +32,7 @@
 	 * The same worker, taking no new work.
 	 * @return the worker as if it were about to leave
 	 */
-	public WorkerInfo closed() {
+	public WorkerInfo asDraining() {
 		return new WorkerInfo(this.id, this.service, this.address, this.failureDomain, this.capacity, this.labels,
 				this.rack, true, this.remainingMillis);
 	}
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/WorkerLease.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/WorkerLease.java
@@ -4,45 +4,45 @@
 
 /**
  * The lease under which everything on one worker runs, measured on the worker's clock.
- * Invariant: {@link #surelyLapsed} is true only if no order sent by this owner can keep a
+ * Invariant: {@link #isExpired} is true only if no order sent by this owner can keep a
  * run alive there. Not thread-safe: confined to the control thread.
  */
 final class WorkerLease {
 
 	/** A worker's clock runs at least at this rate. */
-	static final double SLOWEST_RATE = 0.98;
+	static final double MIN_CLOCK_RATE = 0.98;
 
 	private long clockMillis;
 
-	private long heardNanos;
+	private long clockReadNanos;
 
-	private long leaseMillis;
+	private long leaseEndMillis;
 
-	private boolean known;
+	private boolean clockKnown;
 
 	/**
 	 * Take in the worker's clock.
 	 * @param clock what it said
 	 * @param nowNanos when that arrived
 	 */
-	void heard(long clock, long nowNanos) {
-		if (!this.known) {
+	void updateClock(long clock, long nowNanos) {
+		if (!this.clockKnown) {
 			// An earlier owner may have extended the lease up to now.
-			this.leaseMillis = clock + OwnerLease.MAX_WORKER_LEASE_MILLIS + OwnerLease.EXPIRY_MILLIS;
+			this.leaseEndMillis = clock + OwnerLease.MAX_WORKER_LEASE_MILLIS + OwnerLease.EXPIRY_MILLIS;
 		}
-		if (!this.known || clock >= this.clockMillis) {
+		if (!this.clockKnown || clock >= this.clockMillis) {
 			this.clockMillis = clock;
-			this.heardNanos = nowNanos;
-			this.known = true;
+			this.clockReadNanos = nowNanos;
+			this.clockKnown = true;
 		}
 	}
 
-	boolean isKnown() {
-		return this.known;
+	boolean isClockKnown() {
+		return this.clockKnown;
 	}
 
-	long ageMillis(long nowNanos) {
-		return this.known ? TimeUnit.NANOSECONDS.toMillis(nowNanos - this.heardNanos) : -1;
+	long clockAgeMillis(long nowNanos) {
+		return this.clockKnown ? TimeUnit.NANOSECONDS.toMillis(nowNanos - this.clockReadNanos) : -1;
 	}
 
 	/**
@@ -52,8 +52,8 @@
 	 * @return the end on the worker's clock
 	 */
 	long extend(long nowNanos, long forMillis) {
-		long until = this.clockMillis + TimeUnit.NANOSECONDS.toMillis(nowNanos - this.heardNanos) + forMillis;
-		this.leaseMillis = Math.max(this.leaseMillis, until);
+		long until = this.clockMillis + TimeUnit.NANOSECONDS.toMillis(nowNanos - this.clockReadNanos) + forMillis;
+		this.leaseEndMillis = Math.max(this.leaseEndMillis, until);
 		return until;
 	}
 
@@ -62,12 +62,12 @@
 	 * @param nowNanos the current time
 	 * @return {@code true} if nothing that this owner ordered runs there any more
 	 */
-	boolean surelyLapsed(long nowNanos) {
-		if (this.leaseMillis <= this.clockMillis) {
+	boolean isExpired(long nowNanos) {
+		if (this.leaseEndMillis <= this.clockMillis) {
 			return true;
 		}
-		double longest = (this.leaseMillis - this.clockMillis) / SLOWEST_RATE;
-		return TimeUnit.NANOSECONDS.toMillis(nowNanos - this.heardNanos) > longest + 1;
+		double longest = (this.leaseEndMillis - this.clockMillis) / MIN_CLOCK_RATE;
+		return TimeUnit.NANOSECONDS.toMillis(nowNanos - this.clockReadNanos) > longest + 1;
 	}
 
 }
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/WorkerPool.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/WorkerPool.java
@@ -22,28 +22,28 @@
 
 	private final Map<String, PoolWorker> workers = new LinkedHashMap<>();
 
-	private final Set<String> named = new HashSet<>();
+	private final Set<String> recordedWorkers = new HashSet<>();
 
-	private final Set<String> inherited = new HashSet<>();
+	private final Set<String> unreconciledWorkers = new HashSet<>();
 
-	private final Map<String, Set<TaskKey>> unseen = new HashMap<>();
+	private final Map<String, Set<TaskKey>> unconfirmedTasks = new HashMap<>();
 
-	private long changes;
+	private long capacityVersion;
 
 	/**
 	 * Take over the workers that an earlier owner's row names.
 	 * @param earlier the row
 	 */
-	void inherit(OwnerRecord earlier) {
-		this.inherited.addAll(earlier.workers());
-		this.named.addAll(earlier.workers());
+	void recoverFrom(OwnerRecord earlier) {
+		this.unreconciledWorkers.addAll(earlier.workers());
+		this.recordedWorkers.addAll(earlier.workers());
 		earlier.closed()
-			.forEach((worker, tasks) -> parse(tasks).ifPresentOrElse((known) -> this.unseen.put(worker, known),
-					() -> this.inherited.add(worker)));
+			.forEach((worker, tasks) -> parseTasks(tasks).ifPresentOrElse(
+					(known) -> this.unconfirmedTasks.put(worker, known), () -> this.unreconciledWorkers.add(worker)));
 	}
 
 	// What runs on a worker whose tasks cannot be read may be anything.
-	private static Optional<Set<TaskKey>> parse(List<String> tasks) {
+	private static Optional<Set<TaskKey>> parseTasks(List<String> tasks) {
 		try {
 			return Optional.of(Set.copyOf(tasks.stream().map(TaskKey::parse).toList()));
 		}
@@ -67,14 +67,17 @@
 				known.update(info);
 				continue;
 			}
-			PoolWorker worker = new PoolWorker(info, () -> ++this.changes);
+			PoolWorker worker = new PoolWorker(info, () -> ++this.capacityVersion);
 			this.workers.put(info.id(), worker);
-			if (this.named.contains(info.id())) {
-				worker.markNamed();
+			if (this.recordedWorkers.contains(info.id())) {
+				worker.markRecorded();
 			}
 			added.add(worker);
 		}
-		this.workers.values().stream().filter((worker) -> !present.contains(worker.id())).forEach(PoolWorker::unlist);
+		this.workers.values()
+			.stream()
+			.filter((worker) -> !present.contains(worker.id()))
+			.forEach(PoolWorker::markUnlisted);
 		return added;
 	}
 
@@ -82,33 +85,33 @@
 	 * Note that what an earlier owner may have started on a worker is known.
 	 * @param id the worker's id
 	 */
-	void accounted(String id) {
-		this.inherited.remove(id);
-		this.unseen.remove(id);
+	void markReconciled(String id) {
+		this.unreconciledWorkers.remove(id);
+		this.unconfirmedTasks.remove(id);
 	}
 
 	/**
 	 * Whether it is known what runs on every worker that an earlier owner used.
 	 * @return {@code true} if so
 	 */
-	boolean isAccounted() {
-		return this.inherited.isEmpty();
+	boolean isFullyReconciled() {
+		return this.unreconciledWorkers.isEmpty();
 	}
 
 	/**
 	 * Give up waiting for workers that an earlier owner used: its leases have lapsed.
 	 */
-	void forgetInherited() {
-		this.inherited.clear();
-		this.unseen.clear();
+	void abandonReconciliation() {
+		this.unreconciledWorkers.clear();
+		this.unconfirmedTasks.clear();
 	}
 
 	/**
 	 * Whether no task can run on a worker of which nothing was heard yet.
-	 * @return {@code true} if {@link #mayRunUnseen} is {@code false} for all tasks
+	 * @return {@code true} if {@link #mayRunUnconfirmed} is {@code false} for all tasks
 	 */
-	boolean isSeen() {
-		return this.unseen.isEmpty();
+	boolean hasNoUnconfirmedTasks() {
+		return this.unconfirmedTasks.isEmpty();
 	}
 
 	/**
@@ -117,8 +120,8 @@
 	 * @param task the task
 	 * @return {@code true} if so
 	 */
-	boolean mayRunUnseen(TaskKey task) {
-		return this.unseen.values().stream().anyMatch((tasks) -> tasks.contains(task));
+	boolean mayRunUnconfirmed(TaskKey task) {
+		return this.unconfirmedTasks.values().stream().anyMatch((tasks) -> tasks.contains(task));
 	}
 
 	/**
@@ -128,27 +131,28 @@
 	 * hold up all jobs of the next owner for the length of a lease.
 	 * @return the workers
 	 */
-	Named toName() {
-		Set<String> ids = new HashSet<>(this.inherited);
+	RecordedWorkers workersToRecord() {
+		Set<String> ids = new HashSet<>(this.unreconciledWorkers);
 		Map<String, List<String>> closed = new HashMap<>();
-		this.unseen.forEach((worker, tasks) -> closed.put(worker, tasks.stream().map(TaskKey::toString).toList()));
+		this.unconfirmedTasks
+			.forEach((worker, tasks) -> closed.put(worker, tasks.stream().map(TaskKey::toString).toList()));
 		for (PoolWorker worker : this.workers.values()) {
 			if (worker.isUsable()) {
 				ids.add(worker.id());
 				continue;
 			}
-			worker.unname();
-			this.named.remove(worker.id());
+			worker.clearRecorded();
+			this.recordedWorkers.remove(worker.id());
 			if (!worker.isLost() && worker.runCount() > 0) {
 				closed.put(worker.id(), worker.runs().stream().map((run) -> run.task().toString()).toList());
 			}
 		}
-		return new Named(ids.stream().sorted().toList(), closed).bounded();
+		return new RecordedWorkers(ids.stream().sorted().toList(), closed).bounded();
 	}
 
-	boolean hasUnnamed() {
+	boolean hasUnrecordedWorkers() {
 		for (PoolWorker worker : this.workers.values()) {
-			if (worker.isUsable() && !this.named.contains(worker.id())) {
+			if (worker.isUsable() && !this.recordedWorkers.contains(worker.id())) {
 				return true;
 			}
 		}
@@ -157,31 +161,31 @@
 
 	/**
 	 * Number of the last change of a worker that may have made room, see
-	 * {@link PoolWorker#changed()}.
+	 * {@link PoolWorker#capacityVersion()}.
 	 * @return the number
 	 */
-	long changes() {
-		return this.changes;
+	long capacityVersion() {
+		return this.capacityVersion;
 	}
 
 	/**
 	 * Note which workers the durable row names.
 	 * @param ids their ids
 	 */
-	void named(Collection<String> ids) {
-		this.named.clear();
-		this.named.addAll(ids);
-		ids.stream().map(this.workers::get).filter((worker) -> worker != null).forEach(PoolWorker::markNamed);
+	void markRecorded(Collection<String> ids) {
+		this.recordedWorkers.clear();
+		this.recordedWorkers.addAll(ids);
+		ids.stream().map(this.workers::get).filter((worker) -> worker != null).forEach(PoolWorker::markRecorded);
 	}
 
-	Map<String, Long> processedEnds() {
+	Map<String, Long> processedSequences() {
 		Map<String, Long> ends = new HashMap<>();
-		this.workers.values().forEach((worker) -> ends.put(worker.id(), worker.processedEnds()));
+		this.workers.values().forEach((worker) -> ends.put(worker.id(), worker.processedSequence()));
 		return ends;
 	}
 
-	void durable(Map<String, Long> ends) {
-		ends.forEach((id, number) -> worker(id).ifPresent((worker) -> worker.durable(number)));
+	void markDurable(Map<String, Long> ends) {
+		ends.forEach((id, number) -> worker(id).ifPresent((worker) -> worker.markDurable(number)));
 	}
 
 	Optional<PoolWorker> worker(String id) {
@@ -192,7 +196,7 @@
 		this.workers.remove(id);
 	}
 
-	Collection<PoolWorker> all() {
+	Collection<PoolWorker> workers() {
 		return this.workers.values();
 	}
 
@@ -201,11 +205,11 @@
 	 * @param nowNanos the current time
 	 * @return share of their processors that runs hold, 1 if there are no such workers
 	 */
-	double usedShare(long nowNanos) {
+	double utilization(long nowNanos) {
 		long capacity = 0;
 		long used = 0;
 		for (PoolWorker worker : this.workers.values()) {
-			if (worker.isOpen(nowNanos)) {
+			if (worker.isAcceptingWork(nowNanos)) {
 				capacity += worker.info().capacity().processors();
 				used += worker.committed().processors();
 			}
@@ -217,22 +221,22 @@
 	 * What an owner's row says of the workers. Immutable.
 	 *
 	 * @param workers those on which anything may run
-	 * @param closed tasks on workers that take nothing new
+	 * @param closedWorkers tasks on workers that take nothing new
 	 */
-	record Named(List<String> workers, Map<String, List<String>> closed) {
+	record RecordedWorkers(List<String> workers, Map<String, List<String>> closedWorkers) {
 
 		/** Most tasks in a row; a row takes 48 KB, a task 24 bytes. */
-		private static final int MOST_TASKS = 1000;
+		private static final int MAX_TASKS = 1000;
 
-		private Named bounded() {
-			if (this.closed.values().stream().mapToInt(List::size).sum() <= MOST_TASKS) {
+		private RecordedWorkers bounded() {
+			if (this.closedWorkers.values().stream().mapToInt(List::size).sum() <= MAX_TASKS) {
 				return this;
 			}
-			List<String> all = Stream.concat(this.workers.stream(), this.closed.keySet().stream())
+			List<String> all = Stream.concat(this.workers.stream(), this.closedWorkers.keySet().stream())
 				.distinct()
 				.sorted()
 				.toList();
-			return new Named(all, Map.of());
+			return new RecordedWorkers(all, Map.of());
 		}
 
 	}
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/EligibilityCandidatesTests.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/EligibilityCandidatesTests.java
@@ -37,15 +37,15 @@
 	private static List<PoolWorker> openWorkers(int count) {
 		List<PoolWorker> workers = workers(count);
 		workers.forEach((worker) -> {
-			worker.markReached();
-			worker.markNamed();
+			worker.markReachable();
+			worker.markRecorded();
 		});
 		return workers;
 	}
 
 	private static void fill(PoolWorker worker) {
 		for (int i = 0; i < 4; i++) {
-			worker.add(Run.ordered(new TaskKey("other", 0, 0, i), 1, worker.id(), SIZE, 0));
+			worker.add(Run.starting(new TaskKey("other", 0, 0, i), 1, worker.id(), SIZE, 0));
 		}
 	}
 
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/MisbehavingWorkersTests.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/FaultyWorkersTests.java
@@ -10,92 +10,92 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class MisbehavingWorkersTests {
+class FaultyWorkersTests {
 
-	private static final long LEASE_OVER_MILLIS = 10_000;
+	private static final long LEASE_EXPIRY_MILLIS = 10_000;
 
 	private final SimulatedCell cell = new SimulatedCell().withWorkers(3);
 
-	private void isServed(String job) {
+	private void assertCompleted(String job) {
 		assertThat(this.cell.durableState(job)).as(job).isEqualTo(SubmissionState.COMPLETED);
-		assertThat(this.cell.workers.faults()).isEmpty();
+		assertThat(this.cell.workers.violations()).isEmpty();
 	}
 
 	@Test
-	void aStartWithoutAnAnswerIsNotRunElsewhereBeside() {
-		this.cell.workers.add("w9", SimulatedCell.CAPACITY).losesStartAnswers(true);
+	void aTaskWhoseStartIsUnansweredRunsOnOneWorkerOnly() {
+		this.cell.workers.add("w9", SimulatedCell.CAPACITY).setLosesStartResponses(true);
 		this.cell.addScheduler();
 		this.cell.submit("a", SimulatedCell.step(14, false));
 		this.cell.time.runFor(6000);
-		isServed("a");
+		assertCompleted("a");
 	}
 
 	@Test
-	void aStartThatIsCarriedOutLateNeitherOverfillsNorRunsTwice() {
-		SimulatedWorkers.Machine late = this.cell.workers.add("w9", SimulatedCell.CAPACITY);
+	void aDelayedStartNeitherExceedsTheCapacityNorRunsATaskTwice() {
+		SimulatedWorkers.SimulatedWorker late = this.cell.workers.add("w9", SimulatedCell.CAPACITY);
 		this.cell.addScheduler();
 		this.cell.time.runFor(500);
-		late.startsLate(3000);
+		late.setStartDelayMillis(3000);
 		for (int i = 0; i < 6; i++) {
 			this.cell.submit("job" + i, SimulatedCell.step(5, i % 2 == 0));
 		}
 		this.cell.time.runFor(2500);
-		late.startsLate(0);
-		this.cell.time.runFor(LEASE_OVER_MILLIS);
+		late.setStartDelayMillis(0);
+		this.cell.time.runFor(LEASE_EXPIRY_MILLIS);
 		for (int i = 0; i < 6; i++) {
-			isServed("job" + i);
+			assertCompleted("job" + i);
 		}
 	}
 
 	@Test
-	void tasksOfACrashedWorkerRunAgainOnceItsLeaseIsOver() {
+	void tasksOfACrashedWorkerAreRestartedAfterItsLeaseExpires() {
 		this.cell.addScheduler();
 		this.cell.time.runFor(500);
-		SimulatedWorkers.Machine lost = this.cell.workers.add("w9", SimulatedCell.CAPACITY);
+		SimulatedWorkers.SimulatedWorker lost = this.cell.workers.add("w9", SimulatedCell.CAPACITY);
 		this.cell.time.runFor(1000);
 		this.cell.submit("a", SimulatedCell.step(16, true));
 		this.cell.time.runFor(200);
 		assertThat(lost.runningCount()).isPositive();
 		lost.crash();
-		lost.unlist();
+		lost.removeFromList();
 		this.cell.workers.add("w10", SimulatedCell.CAPACITY);
-		this.cell.time.runFor(LEASE_OVER_MILLIS);
-		isServed("a");
+		this.cell.time.runFor(LEASE_EXPIRY_MILLIS);
+		assertCompleted("a");
 	}
 
 	@Test
-	void aWorkerThatIsCutOffAndComesBackRunsNothingTwice() {
+	void aWorkerThatReconnectsRunsNoTaskTwice() {
 		SimulatedCell.Scheduler owner = this.cell.addScheduler();
 		this.cell.submit("a", SimulatedCell.step(12, false), SimulatedCell.step(12, false, 0));
 		this.cell.time.runFor(300);
-		owner.workerClient.cut("w1");
-		this.cell.time.runFor(LEASE_OVER_MILLIS);
-		owner.workerClient.join("w1");
+		owner.workerClient.disconnect("w1");
+		this.cell.time.runFor(LEASE_EXPIRY_MILLIS);
+		owner.workerClient.reconnect("w1");
 		this.cell.time.runFor(3000);
-		isServed("a");
+		assertCompleted("a");
 	}
 
 	@Test
-	void aWorkerThatIsSilentWithinItsLeaseKeepsItsTasks() {
+	void aWorkerThatIsUnreachableWithinItsLeaseKeepsItsTasks() {
 		SimulatedCell cell = new SimulatedCell().withWorkers(2).withRunMillis(4000);
 		SimulatedCell.Scheduler owner = cell.addScheduler();
 		cell.time.runFor(600);
 		cell.submit("a", SimulatedCell.step(6, false));
 		cell.time.runFor(300);
-		owner.workerClient.cut("w0");
+		owner.workerClient.disconnect("w0");
 		cell.time.runFor(2500);
-		owner.workerClient.join("w0");
+		owner.workerClient.reconnect("w0");
 		cell.time.runFor(4000);
 		assertThat(cell.durableState("a")).isEqualTo(SubmissionState.COMPLETED);
-		assertThat(cell.workers.faults()).isEmpty();
+		assertThat(cell.workers.violations()).isEmpty();
 		for (int i = 0; i < 6; i++) {
-			assertThat(cell.workers.startsOf(new TaskKey("a", 0, 0, i))).isEqualTo(1);
+			assertThat(cell.workers.startCount(new TaskKey("a", 0, 0, i))).isEqualTo(1);
 		}
 	}
 
 	@Test
-	void aWorkerThatFailsAllItStartsIsAvoided() {
-		this.cell.workers.add("bad", SimulatedCell.CAPACITY).fails(true);
+	void aWorkerThatFailsAllItsRunsIsAvoided() {
+		this.cell.workers.add("bad", SimulatedCell.CAPACITY).setFailing(true);
 		this.cell.addScheduler();
 		for (int i = 0; i < 12; i++) {
 			this.cell.submit("job" + i, SimulatedCell.step(4, false));
@@ -103,12 +103,12 @@
 		}
 		this.cell.time.runFor(3000);
 		for (int i = 0; i < 12; i++) {
-			isServed("job" + i);
+			assertCompleted("job" + i);
 		}
 	}
 
 	@Nested
-	class ThatLoseTheAnswersOfStarts {
+	class ThatLoseTheResponsesToStarts {
 
 		private static final int TASKS = 6;
 
@@ -117,15 +117,15 @@
 		@BeforeEach
 		void addWorkers() {
 			for (int i = 0; i < 3; i++) {
-				this.cell.workers.add("w" + i, SimulatedCell.CAPACITY).losesStartAnswers(true);
+				this.cell.workers.add("w" + i, SimulatedCell.CAPACITY).setLosesStartResponses(true);
 			}
 		}
 
-		private void ranOnce(String job) {
+		private void assertEachTaskRanOnce(String job) {
 			assertThat(this.cell.durableState(job)).as(job).isEqualTo(SubmissionState.COMPLETED);
-			assertThat(this.cell.workers.faults()).isEmpty();
+			assertThat(this.cell.workers.violations()).isEmpty();
 			for (int i = 0; i < TASKS; i++) {
-				assertThat(this.cell.workers.startsOf(new TaskKey(job, 0, 0, i))).isEqualTo(1);
+				assertThat(this.cell.workers.startCount(new TaskKey(job, 0, 0, i))).isEqualTo(1);
 			}
 		}
 
@@ -135,22 +135,22 @@
 			this.cell.addScheduler();
 			this.cell.time.runFor(500);
 			this.cell.submit("a", SimulatedCell.step(TASKS, gang));
-			this.cell.time.runFor(LEASE_OVER_MILLIS);
-			ranOnce("a");
+			this.cell.time.runFor(LEASE_EXPIRY_MILLIS);
+			assertEachTaskRanOnce("a");
 		}
 
 		@ParameterizedTest
 		@ValueSource(booleans = { false, true })
-		void runEachTaskOnceThoughTheOwnerIsLostBeforeItKnows(boolean gang) {
+		void runEachTaskOnceAfterTheOwnerCrashesBeforeAResponse(boolean gang) {
 			SimulatedCell.Scheduler first = this.cell.addScheduler();
 			this.cell.addScheduler();
 			this.cell.time.runFor(500);
 			this.cell.submit("a", SimulatedCell.step(TASKS, gang));
 			this.cell.time.runFor(100);
-			assertThat(this.cell.workers.aliveCount()).isEqualTo(TASKS);
+			assertThat(this.cell.workers.runningTaskCount()).isEqualTo(TASKS);
 			first.kill();
-			this.cell.time.runFor(LEASE_OVER_MILLIS + 3000);
-			ranOnce("a");
+			this.cell.time.runFor(LEASE_EXPIRY_MILLIS + 3000);
+			assertEachTaskRanOnce("a");
 		}
 
 	}
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/GangReservationsTests.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/GangReservationsTests.java
@@ -35,8 +35,8 @@
 
 	GangReservationsTests() {
 		this.workers.forEach((worker) -> {
-			worker.markReached();
-			worker.markNamed();
+			worker.markReachable();
+			worker.markRecorded();
 		});
 	}
 
@@ -51,7 +51,8 @@
 
 	private void occupy(int worker, int tasks) {
 		for (int i = 0; i < tasks; i++) {
-			this.workers.get(worker).add(Run.ordered(new TaskKey("other" + worker, 0, 0, i), 1, "w" + worker, SIZE, 0));
+			this.workers.get(worker)
+				.add(Run.starting(new TaskKey("other" + worker, 0, 0, i), 1, "w" + worker, SIZE, 0));
 		}
 	}
 
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/JobDiagnosisTests.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/JobDiagnosisTests.java
@@ -67,7 +67,7 @@
 			cell.time.runFor(500);
 			cell.submit("a", SimulatedCell.step(1, false));
 			cell.time.runFor(300);
-			String holder = cell.workers.holderOf(TASK);
+			String holder = cell.workers.workerRunning(TASK);
 			cell.workers.crash(holder);
 			cell.time.runFor(LEASE_OVER_MILLIS + 4000);
 			JobStory story = cell.logs.story("a");
@@ -106,7 +106,7 @@
 			SimulatedCell.Scheduler first = cell.startOwnerAndStandby();
 			cell.submit("a", SimulatedCell.step(1, false));
 			cell.time.runFor(300);
-			cell.workers.crash(cell.workers.holderOf(TASK));
+			cell.workers.crash(cell.workers.workerRunning(TASK));
 			first.kill();
 			cell.time.runFor(3 * LEASE_OVER_MILLIS);
 			JobStory story = cell.logs.story("a");
@@ -145,7 +145,7 @@
 			SimulatedCell.Scheduler owner = cell.addScheduler();
 			cell.time.runFor(1000);
 			for (int i = 0; i < 3; i++) {
-				owner.workerClient.cut("w" + i);
+				owner.workerClient.disconnect("w" + i);
 			}
 			cell.submit("a", SimulatedCell.step(2, false));
 			cell.time.runFor(600);
@@ -170,8 +170,8 @@
 		@Test
 		void attemptsThatTwoOwnersSaw() {
 			SimulatedCell cell = new SimulatedCell();
-			cell.workers.add("w0", SimulatedCell.CAPACITY).fails(true);
-			cell.workers.add("w1", SimulatedCell.CAPACITY).fails(true);
+			cell.workers.add("w0", SimulatedCell.CAPACITY).setFailing(true);
+			cell.workers.add("w1", SimulatedCell.CAPACITY).setFailing(true);
 			SimulatedCell.Scheduler first = cell.addScheduler();
 			cell.time.runFor(500);
 			cell.submit("a", 2, SimulatedCell.step(1, false));
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/LeasesTests.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/LeasesTests.java
@@ -13,7 +13,7 @@
 
 	private long nowMillis = 1_000_000;
 
-	private void pass(long millis) {
+	private void advance(long millis) {
 		this.nowNanos += TimeUnit.MILLISECONDS.toNanos(millis);
 		this.nowMillis += millis;
 	}
@@ -24,42 +24,42 @@
 		private final WorkerLease lease = new WorkerLease();
 
 		@Test
-		void lapseLaterOnTheSlowestClock() {
-			this.lease.heard(5000, LeasesTests.this.nowNanos);
-			pass(20_000);
-			this.lease.heard(25_000, LeasesTests.this.nowNanos);
+		void expireAfterTheLongestTimeOnTheSlowestClock() {
+			this.lease.updateClock(5000, LeasesTests.this.nowNanos);
+			advance(20_000);
+			this.lease.updateClock(25_000, LeasesTests.this.nowNanos);
 			assertThat(this.lease.extend(LeasesTests.this.nowNanos, 7000)).isEqualTo(32_000);
-			pass(7140);
-			assertThat(this.lease.surelyLapsed(LeasesTests.this.nowNanos)).isFalse();
-			pass(10);
-			assertThat(this.lease.surelyLapsed(LeasesTests.this.nowNanos)).isTrue();
+			advance(7140);
+			assertThat(this.lease.isExpired(LeasesTests.this.nowNanos)).isFalse();
+			advance(10);
+			assertThat(this.lease.isExpired(LeasesTests.this.nowNanos)).isTrue();
 		}
 
 		@Test
-		void neverShorten() {
-			this.lease.heard(5000, LeasesTests.this.nowNanos);
-			pass(20_000);
-			this.lease.heard(25_000, LeasesTests.this.nowNanos);
+		void areNeverShortened() {
+			this.lease.updateClock(5000, LeasesTests.this.nowNanos);
+			advance(20_000);
+			this.lease.updateClock(25_000, LeasesTests.this.nowNanos);
 			this.lease.extend(LeasesTests.this.nowNanos, 7000);
 			this.lease.extend(LeasesTests.this.nowNanos, 500);
-			pass(1000);
-			assertThat(this.lease.surelyLapsed(LeasesTests.this.nowNanos)).isFalse();
+			advance(1000);
+			assertThat(this.lease.isExpired(LeasesTests.this.nowNanos)).isFalse();
 		}
 
 		@Test
-		void ofAnEarlierOwnerAreWaitedOut() {
-			this.lease.heard(5000, LeasesTests.this.nowNanos);
-			pass(OwnerLease.MAX_WORKER_LEASE_MILLIS);
-			assertThat(this.lease.surelyLapsed(LeasesTests.this.nowNanos)).isFalse();
-			pass(OwnerLease.MAX_WORKER_LEASE_MILLIS);
-			assertThat(this.lease.surelyLapsed(LeasesTests.this.nowNanos)).isTrue();
+		void ofAnEarlierOwnerAreTakenIntoAccount() {
+			this.lease.updateClock(5000, LeasesTests.this.nowNanos);
+			advance(OwnerLease.MAX_WORKER_LEASE_MILLIS);
+			assertThat(this.lease.isExpired(LeasesTests.this.nowNanos)).isFalse();
+			advance(OwnerLease.MAX_WORKER_LEASE_MILLIS);
+			assertThat(this.lease.isExpired(LeasesTests.this.nowNanos)).isTrue();
 		}
 
 		@Test
-		void areNotMovedByAnAnswerThatOvertookAnother() {
-			this.lease.heard(25_000, LeasesTests.this.nowNanos);
-			pass(10);
-			this.lease.heard(24_000, LeasesTests.this.nowNanos);
+		void ignoreClockReadingsThatArriveOutOfOrder() {
+			this.lease.updateClock(25_000, LeasesTests.this.nowNanos);
+			advance(10);
+			this.lease.updateClock(24_000, LeasesTests.this.nowNanos);
 			assertThat(this.lease.extend(LeasesTests.this.nowNanos, 100)).isEqualTo(25_110);
 		}
 
@@ -72,18 +72,18 @@
 				new PoolClock(() -> LeasesTests.this.nowNanos, () -> LeasesTests.this.nowMillis));
 
 		@Test
-		void shortenWhileTheRowIsNotWritten() {
+		void shortenWhileTheOwnerRecordIsNotRenewed() {
 			this.term.renewed(LeasesTests.this.nowNanos, LeasesTests.this.nowMillis);
-			pass(OwnerLease.EXPIRY_MILLIS);
+			advance(OwnerLease.EXPIRY_MILLIS);
 			assertThat(this.term.workerLeaseMillis()).isEqualTo(OwnerLease.MAX_WORKER_LEASE_MILLIS);
-			pass(3000);
+			advance(3000);
 			assertThat(this.term.workerLeaseMillis()).isEqualTo(OwnerLease.MAX_WORKER_LEASE_MILLIS - 3000);
-			pass(4000);
+			advance(4000);
 			assertThat(this.term.canGrantLeases()).isFalse();
 		}
 
 		@Test
-		void endAtOnceAfterTheProcessStoodStill() {
+		void expireAtOnceAfterTheProcessWasSuspended() {
 			this.term.renewed(LeasesTests.this.nowNanos, LeasesTests.this.nowMillis);
 			LeasesTests.this.nowMillis += 12_000;
 			assertThat(this.term.canGrantLeases()).isFalse();
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/LoadSimulation.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/LoadSimulation.java
@@ -101,7 +101,7 @@
 			owner.updateHosts(
 					java.util.stream.IntStream.range(0, this.cell.hosts()).mapToObj((host) -> "h" + host).toList());
 			owner.start();
-			owner.updateWorkers(this.workers.list());
+			owner.updateWorkers(this.workers.listedWorkers());
 		}).start();
 		this.time.runFor(WARM_UP_MILLIS);
 	}
@@ -161,7 +161,7 @@
 	private void sample() {
 		long used = 0;
 		Set<String> running = new HashSet<>();
-		for (TaskKey task : this.workers.alive()) {
+		for (TaskKey task : this.workers.runningTasks()) {
 			used += this.sizes.get(task.stepKey()).processors();
 			running.add(task.job());
 		}
@@ -219,7 +219,7 @@
 				starved.add(job.kind().name() + " " + id);
 			}
 		});
-		return new Result(sums, starved, this.workers.faults(), this.calls, this.loads);
+		return new Result(sums, starved, this.workers.violations(), this.calls, this.loads);
 	}
 
 	/**
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/ManualEligibilityPool.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/ManualEligibilityPool.java
@@ -61,13 +61,13 @@
 			this.owner.configure(new QueueConfiguration(1, List.of(), List.of(new WorkerService("salon", false))));
 			this.owner.updateHosts(List.of("only"));
 			this.owner.start();
-			this.owner.updateWorkers(this.workers.list());
+			this.owner.updateWorkers(this.workers.listedWorkers());
 		}).start();
 		this.time.runFor(1000);
 	}
 
 	private void addWorkers(int count) {
-		int known = this.workers.list().size();
+		int known = this.workers.listedWorkers().size();
 		for (int i = 0; i < count; i++) {
 			this.workers.add("w" + (known + i), SIZE);
 		}
@@ -79,11 +79,11 @@
 	 * @return the workers
 	 */
 	List<String> addIdleWorkers(int count) {
-		int known = this.workers.list().size();
+		int known = this.workers.listedWorkers().size();
 		addWorkers(count);
-		this.owner.updateWorkers(this.workers.list());
+		this.owner.updateWorkers(this.workers.listedWorkers());
 		runBriefly();
-		return this.workers.list().stream().skip(known).map(WorkerInfo::id).toList();
+		return this.workers.listedWorkers().stream().skip(known).map(WorkerInfo::id).toList();
 	}
 
 	private CompletableFuture<Map<String, String>> requestTickets(String host, StepKey step, List<String> asked,
@@ -106,7 +106,7 @@
 
 	/** Let a job take all workers. */
 	void occupyAllWorkers() {
-		submit(FILLER, this.workers.list().size(), false, null);
+		submit(FILLER, this.workers.listedWorkers().size(), false, null);
 		runBriefly();
 	}
 
@@ -174,7 +174,7 @@
 	}
 
 	boolean isStarted(String id) {
-		return this.workers.startsOf(new TaskKey(id, 0, 0, 0)) > 0;
+		return this.workers.startCount(new TaskKey(id, 0, 0, 0)) > 0;
 	}
 
 	void runBriefly() {
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/PlacementRulesTests.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/PlacementRulesTests.java
@@ -89,7 +89,7 @@
 			PoolWorker worker = new PoolWorker(
 					new WorkerInfo(id, "s", "a:1", "d", new Resources(8000, 800, 0), List.of(), rack, false, 0));
 			for (int i = 0; i < used; i++) {
-				worker.add(Run.ordered(new TaskKey("other", 0, 0, i), 1, id, SIZE, 0));
+				worker.add(Run.starting(new TaskKey("other", 0, 0, i), 1, id, SIZE, 0));
 			}
 			return worker;
 		}
@@ -133,16 +133,16 @@
 		void countsWhatIsHeldAndWhatIsBeingStopped() {
 			PoolWorker worker = new PoolWorker(
 					new WorkerInfo("w", "s", "a:1", "d", new Resources(3000, 800, 0), List.of(), "r", false, 0));
-			worker.markNamed();
-			worker.markReached();
-			Run run = Run.ordered(new TaskKey("a", 0, 0, 0), 1, "w", SIZE, 0);
+			worker.markRecorded();
+			worker.markReachable();
+			Run run = Run.starting(new TaskKey("a", 0, 0, 0), 1, "w", SIZE, 0);
 			worker.add(run);
-			run.stopping();
-			worker.hold(new StepKey("b", 0, 0), SIZE, 100);
-			assertThat(worker.accepts(SIZE, 0)).isTrue();
-			assertThat(worker.accepts(SIZE.times(2), 0)).isFalse();
-			worker.lapseHolds(101);
-			assertThat(worker.accepts(SIZE.times(2), 0)).isTrue();
+			run.markStopping();
+			worker.reserve(new StepKey("b", 0, 0), SIZE, 100);
+			assertThat(worker.canAccept(SIZE, 0)).isTrue();
+			assertThat(worker.canAccept(SIZE.times(2), 0)).isFalse();
+			worker.expireReservations(101);
+			assertThat(worker.canAccept(SIZE.times(2), 0)).isTrue();
 			worker.release(run.task());
 			assertThat(worker.free()).isEqualTo(new Resources(3000, 800, 0));
 		}
@@ -151,14 +151,14 @@
 		void isClosedUntilTheWorkerIsReachedAndNamed() {
 			PoolWorker worker = new PoolWorker(
 					new WorkerInfo("w", "s", "a:1", "d", new Resources(3000, 800, 0), List.of(), "r", false, 0));
-			assertThat(worker.accepts(SIZE, 0)).isFalse();
-			worker.markReached();
-			assertThat(worker.accepts(SIZE, 0)).isFalse();
-			worker.markNamed();
-			assertThat(worker.accepts(SIZE, 0)).isTrue();
+			assertThat(worker.canAccept(SIZE, 0)).isFalse();
+			worker.markReachable();
+			assertThat(worker.canAccept(SIZE, 0)).isFalse();
+			worker.markRecorded();
+			assertThat(worker.canAccept(SIZE, 0)).isTrue();
 			worker.markLost();
-			worker.markReached();
-			assertThat(worker.accepts(SIZE, 0)).isFalse();
+			worker.markReachable();
+			assertThat(worker.canAccept(SIZE, 0)).isFalse();
 		}
 
 	}
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/PoolOwnerTests.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/PoolOwnerTests.java
@@ -39,7 +39,7 @@
 			PoolOwnerTests.this.cell.addScheduler();
 			PoolOwnerTests.this.cell.submit("a", SimulatedCell.step(3, false), SimulatedCell.step(2, true, 0));
 			PoolOwnerTests.this.cell.time.runFor(450);
-			assertThat(PoolOwnerTests.this.cell.workers.startsOf(new TaskKey("a", 0, 1, 0))).isZero();
+			assertThat(PoolOwnerTests.this.cell.workers.startCount(new TaskKey("a", 0, 1, 0))).isZero();
 			PoolOwnerTests.this.cell.time.runFor(1500);
 			PoolOwnerTests.this.cell.assertCompleted("a");
 		}
@@ -74,9 +74,9 @@
 			PoolOwnerTests.this.cell.time.runFor(6);
 			owner.owner.orElseThrow().jobAccepted(job, PoolOwnerTests.this.cell.table.version());
 			assertThat(PoolOwnerTests.this.cell.decisions).hasAtLeastOneElementOfType(JobDecision.JobLearnt.class);
-			assertThat(PoolOwnerTests.this.cell.workers.startsOf(new TaskKey("a", 0, 0, 2))).isZero();
+			assertThat(PoolOwnerTests.this.cell.workers.startCount(new TaskKey("a", 0, 0, 2))).isZero();
 			PoolOwnerTests.this.cell.time.runFor(WRITE_MILLIS);
-			assertThat(PoolOwnerTests.this.cell.workers.startsOf(new TaskKey("a", 0, 0, 2))).isEqualTo(1);
+			assertThat(PoolOwnerTests.this.cell.workers.startCount(new TaskKey("a", 0, 0, 2))).isEqualTo(1);
 			PoolOwnerTests.this.cell.time.runFor(1500);
 			PoolOwnerTests.this.cell.assertCompleted("a");
 		}
@@ -89,7 +89,7 @@
 			PoolOwnerTests.this.cell.time.runFor(500);
 			owner.owner.orElseThrow().jobCancelled("a");
 			PoolOwnerTests.this.cell.time.runFor(5);
-			assertThat(PoolOwnerTests.this.cell.workers.aliveCount()).isZero();
+			assertThat(PoolOwnerTests.this.cell.workers.runningTaskCount()).isZero();
 		}
 
 		@Test
@@ -140,7 +140,7 @@
 			PoolOwnerTests.this.cell.time.runFor(300);
 			PoolOwnerTests.this.cell.table.setDown(true);
 			PoolOwnerTests.this.cell.time.runFor(2000);
-			assertThat(PoolOwnerTests.this.cell.workers.startsOf(new TaskKey("a", 0, 0, 23))).isEqualTo(1);
+			assertThat(PoolOwnerTests.this.cell.workers.startCount(new TaskKey("a", 0, 0, 23))).isEqualTo(1);
 			PoolOwnerTests.this.cell.table.setDown(false);
 			PoolOwnerTests.this.cell.time.runFor(4000);
 			PoolOwnerTests.this.cell.assertCompleted("a");
@@ -166,7 +166,7 @@
 			SimulatedCell cell = new SimulatedCell().withWorkers(1);
 			SimulatedCell.Scheduler owner = cell.addScheduler();
 			cell.time.runFor(600);
-			owner.workerClient.cut("w0");
+			owner.workerClient.disconnect("w0");
 			cell.submit("a", SimulatedCell.step(1, false));
 			cell.submit("b", SimulatedCell.step(1, false));
 			cell.time.runFor(1000);
@@ -181,12 +181,12 @@
 		@Test
 		void aTaskThatFailsAsOftenAsAllowedFailsTheJob() {
 			SimulatedCell cell = new SimulatedCell();
-			cell.workers.add("bad", SimulatedCell.CAPACITY).fails(true);
+			cell.workers.add("bad", SimulatedCell.CAPACITY).setFailing(true);
 			cell.addScheduler();
 			cell.submit("a", 2, SimulatedCell.step(2, false));
 			cell.time.runFor(4000);
 			assertThat(cell.durableState("a")).isEqualTo(SubmissionState.FAILED);
-			assertThat(cell.workers.startsOf(new TaskKey("a", 0, 0, 0))).isLessThanOrEqualTo(2);
+			assertThat(cell.workers.startCount(new TaskKey("a", 0, 0, 0))).isLessThanOrEqualTo(2);
 		}
 
 		@Test
@@ -194,10 +194,10 @@
 			PoolOwnerTests.this.cell.addScheduler();
 			PoolOwnerTests.this.cell.submit("a", SimulatedCell.step(6, false));
 			PoolOwnerTests.this.cell.time.runFor(200);
-			assertThat(PoolOwnerTests.this.cell.workers.aliveCount()).isEqualTo(6);
+			assertThat(PoolOwnerTests.this.cell.workers.runningTaskCount()).isEqualTo(6);
 			PoolOwnerTests.this.cell.cancel("a");
 			PoolOwnerTests.this.cell.time.runFor(200);
-			assertThat(PoolOwnerTests.this.cell.workers.aliveCount()).isZero();
+			assertThat(PoolOwnerTests.this.cell.workers.runningTaskCount()).isZero();
 			assertThat(PoolOwnerTests.this.cell.durableState("a")).isEqualTo(SubmissionState.CANCELLED);
 		}
 
@@ -210,7 +210,7 @@
 			PoolOwnerTests.this.cell.cancel("a");
 			PoolOwnerTests.this.cell.time.runFor(5000);
 			assertThat(PoolOwnerTests.this.cell.durableState("a")).isEqualTo(SubmissionState.CANCELLED);
-			assertThat(PoolOwnerTests.this.cell.workers.startsOf(new TaskKey("a", 0, 1, 0))).isZero();
+			assertThat(PoolOwnerTests.this.cell.workers.startCount(new TaskKey("a", 0, 1, 0))).isZero();
 		}
 
 	}
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/PoolWorkerTests.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/PoolWorkerTests.java
@@ -26,57 +26,57 @@
 	}
 
 	@Test
-	void hasAllOfItsRoomAtFirst() {
+	void hasItsFullCapacityFreeInitially() {
 		assertThat(this.worker.free()).isEqualTo(new Resources(1000, 1000, 2));
 	}
 
 	@Test
-	void givesRoomToRunsAndTakesItBack() {
-		this.worker.add(Run.ordered(TASK, 1, "w", SIZE, 0));
+	void commitsCapacityToRunsAndReleasesIt() {
+		this.worker.add(Run.starting(TASK, 1, "w", SIZE, 0));
 		assertThat(this.worker.free()).isEqualTo(new Resources(800, 900, 1));
-		this.worker.add(Run.ordered(TASK, 2, "w", SIZE.times(2), 0));
+		this.worker.add(Run.starting(TASK, 2, "w", SIZE.times(2), 0));
 		assertThat(this.worker.free()).isEqualTo(new Resources(600, 800, 0));
 		this.worker.release(TASK);
 		assertThat(this.worker.free()).isEqualTo(new Resources(1000, 1000, 2));
 	}
 
 	@Test
-	void holdsRoomUntilItLapses() {
-		this.worker.hold(STEP, SIZE, 10);
-		this.worker.unhold(new StepKey("third", 0, 0));
+	void reservesCapacityUntilTheReservationExpires() {
+		this.worker.reserve(STEP, SIZE, 10);
+		this.worker.cancelReservation(new StepKey("third", 0, 0));
 		assertThat(this.worker.free()).isEqualTo(new Resources(800, 900, 1));
-		this.worker.lapseHolds(11);
+		this.worker.expireReservations(11);
 		assertThat(this.worker.free()).isEqualTo(new Resources(1000, 1000, 2));
-		this.worker.hold(STEP, SIZE, 10);
-		this.worker.unhold(STEP);
+		this.worker.reserve(STEP, SIZE, 10);
+		this.worker.cancelReservation(STEP);
 		assertThat(this.worker.free()).isEqualTo(new Resources(1000, 1000, 2));
 	}
 
 	@Test
-	void hasNoRoomWhileItOffersLessThanItRuns() {
-		this.worker.add(Run.ordered(TASK, 1, "w", SIZE, 0));
+	void hasNoFreeCapacityWhileItsRunsExceedItsCapacity() {
+		this.worker.add(Run.starting(TASK, 1, "w", SIZE, 0));
 		this.worker.update(info(100));
 		assertThat(this.worker.free()).isEqualTo(Resources.NONE);
 		this.worker.update(info(400));
 		assertThat(this.worker.free()).isEqualTo(new Resources(200, 900, 1));
 	}
 
-	private static Run declared(int index, long orderedMillis, long millis) {
-		Run run = Run.ordered(new TaskKey("job", 0, 0, index), 1, "w", SIZE,
+	private static Run runWithEstimate(int index, long orderedMillis, long millis) {
+		Run run = Run.starting(new TaskKey("job", 0, 0, index), 1, "w", SIZE,
 				TimeUnit.MILLISECONDS.toNanos(orderedMillis));
-		run.declare(millis);
+		run.setEstimateMillis(millis);
 		return run;
 	}
 
 	@Test
-	void isEmptyOnceItsLastRunHasEndedByItsDeclaredTime() {
-		assertThat(this.worker.emptyInMillis(0)).isZero();
-		this.worker.add(declared(1, 0, 300));
-		this.worker.add(declared(2, 100, 600));
-		assertThat(this.worker.emptyInMillis(TimeUnit.MILLISECONDS.toNanos(200))).isEqualTo(500);
+	void isIdleOnceTheEstimatedEndOfItsLastRunHasPassed() {
+		assertThat(this.worker.millisUntilIdle(0)).isZero();
+		this.worker.add(runWithEstimate(1, 0, 300));
+		this.worker.add(runWithEstimate(2, 100, 600));
+		assertThat(this.worker.millisUntilIdle(TimeUnit.MILLISECONDS.toNanos(200))).isEqualTo(500);
 		this.worker.release(new TaskKey("job", 0, 0, 2));
-		assertThat(this.worker.emptyInMillis(TimeUnit.MILLISECONDS.toNanos(200))).isEqualTo(100);
-		assertThat(this.worker.emptyInMillis(TimeUnit.MILLISECONDS.toNanos(400))).isZero();
+		assertThat(this.worker.millisUntilIdle(TimeUnit.MILLISECONDS.toNanos(200))).isEqualTo(100);
+		assertThat(this.worker.millisUntilIdle(TimeUnit.MILLISECONDS.toNanos(400))).isZero();
 	}
 
 }
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/SimulatedCell.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/SimulatedCell.java
@@ -157,7 +157,7 @@
 		for (String job : jobs) {
 			assertThat(durableState(job)).as(job).isEqualTo(SubmissionState.COMPLETED);
 		}
-		assertThat(this.workers.faults()).isEmpty();
+		assertThat(this.workers.violations()).isEmpty();
 	}
 
 	boolean hasOwner() {
@@ -281,7 +281,7 @@
 
 		private void refreshWorkers(PoolOwner present) {
 			if (this.owner.filter((current) -> current == present).isPresent()) {
-				present.updateWorkers(SimulatedCell.this.workers.list());
+				present.updateWorkers(SimulatedCell.this.workers.listedWorkers());
 				SimulatedCell.this.time.schedule(() -> refreshWorkers(present), 250, TimeUnit.MILLISECONDS);
 			}
 		}
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/SimulatedWorkers.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/SimulatedWorkers.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.ToLongFunction;
 
-import org.monsoonrelay.logic.pool.StartOutcome.Kind;
+import org.monsoonrelay.logic.pool.RunRequestOutcome.Kind;
 import org.monsoonrelay.model.capacity.Resources;
 import org.monsoonrelay.model.submission.TaskKey;
 
@@ -23,23 +23,23 @@
  */
 final class SimulatedWorkers {
 
-	private static final long WAY_MILLIS = 1;
+	private static final long ONE_WAY_LATENCY_MILLIS = 1;
 
-	private static final long NO_ANSWER_MILLIS = 450;
+	private static final long REQUEST_TIMEOUT_MILLIS = 450;
 
 	private final VirtualTime time;
 
-	private final Map<String, Machine> machines = new LinkedHashMap<>();
+	private final Map<String, SimulatedWorker> workers = new LinkedHashMap<>();
 
 	private final ToLongFunction<TaskKey> runMillis;
 
-	private final Map<TaskKey, Integer> alive = new HashMap<>();
+	private final Map<TaskKey, Integer> runningTasks = new HashMap<>();
 
-	private final Set<TaskKey> acknowledged = new HashSet<>();
+	private final Set<TaskKey> acknowledgedTasks = new HashSet<>();
 
-	private final Map<TaskKey, Integer> starts = new HashMap<>();
+	private final Map<TaskKey, Integer> startCounts = new HashMap<>();
 
-	private final List<String> faults = new ArrayList<>();
+	private final List<String> violations = new ArrayList<>();
 
 	private Resources taskSize = Resources.NONE;
 
@@ -53,15 +53,15 @@
 		return this;
 	}
 
-	Machine add(String id, Resources capacity) {
-		Machine machine = new Machine(
+	SimulatedWorker add(String id, Resources capacity) {
+		SimulatedWorker machine = new SimulatedWorker(
 				new WorkerInfo(id, "salon", "10.0.0.1:1", "porto", capacity, List.of("a", "r1"), "r1", false, 0));
-		this.machines.put(id, machine);
+		this.workers.put(id, machine);
 		return machine;
 	}
 
-	List<WorkerInfo> list() {
-		return this.machines.values()
+	List<WorkerInfo> listedWorkers() {
+		return this.workers.values()
 			.stream()
 			.filter((machine) -> machine.listed)
 			.map((machine) -> machine.info)
@@ -73,16 +73,16 @@
 	 * @param id the worker
 	 */
 	void drain(String id) {
-		Machine machine = this.machines.get(id);
+		SimulatedWorker machine = this.workers.get(id);
 		WorkerInfo info = machine.info;
 		machine.info = new WorkerInfo(info.id(), info.service(), info.address(), info.failureDomain(), info.capacity(),
 				info.labels(), info.rack(), true, 2000);
 	}
 
-	String holderOf(TaskKey task) {
-		return this.machines.values()
+	String workerRunning(TaskKey task) {
+		return this.workers.values()
 			.stream()
-			.filter((machine) -> machine.running.containsKey(task))
+			.filter((machine) -> machine.runningAttempts.containsKey(task))
 			.map((machine) -> machine.info.id())
 			.findFirst()
 			.orElseThrow();
@@ -93,28 +93,28 @@
 	 * @param id the worker
 	 */
 	void crash(String id) {
-		this.machines.get(id).crash();
-		this.machines.get(id).unlist();
+		this.workers.get(id).crash();
+		this.workers.get(id).removeFromList();
 	}
 
-	List<String> faults() {
-		return this.faults;
+	List<String> violations() {
+		return this.violations;
 	}
 
-	int startsOf(TaskKey task) {
-		return this.starts.getOrDefault(task, 0);
+	int startCount(TaskKey task) {
+		return this.startCounts.getOrDefault(task, 0);
 	}
 
 	/**
 	 * What runs.
 	 * @return the tasks
 	 */
-	Set<TaskKey> alive() {
-		return this.alive.keySet();
+	Set<TaskKey> runningTasks() {
+		return this.runningTasks.keySet();
 	}
 
-	int aliveCount() {
-		return this.alive.size();
+	int runningTaskCount() {
+		return this.runningTasks.size();
 	}
 
 	/**
@@ -126,242 +126,242 @@
 	}
 
 	/** One worker. */
-	final class Machine {
+	final class SimulatedWorker {
 
-		private final Map<TaskKey, Integer> running = new LinkedHashMap<>();
+		private final Map<TaskKey, Integer> runningAttempts = new LinkedHashMap<>();
 
-		private final Map<TaskKey, Integer> highestEnded = new HashMap<>();
+		private final Map<TaskKey, Integer> highestTerminatedAttempts = new HashMap<>();
 
-		private final List<EndedTask> ended = new ArrayList<>();
+		private final List<TerminatedTask> terminatedTasks = new ArrayList<>();
 
 		private WorkerInfo info;
 
-		private long fence;
+		private long highestFencingToken;
 
-		private long ends;
+		private long lastSequence;
 
-		private long leaseMillis;
+		private long leaseEndMillis;
 
 		private boolean listed = true;
 
 		private boolean crashed;
 
-		private boolean fails;
+		private boolean failing;
 
-		private boolean losesStartAnswers;
+		private boolean losesStartResponses;
 
-		private long startsLateMillis;
+		private long startDelayMillis;
 
-		Machine(WorkerInfo info) {
+		SimulatedWorker(WorkerInfo info) {
 			this.info = info;
 		}
 
-		void unlist() {
+		void removeFromList() {
 			this.listed = false;
 		}
 
 		void crash() {
 			this.crashed = true;
-			this.running.keySet().forEach((task) -> SimulatedWorkers.this.alive.remove(task));
-			this.running.clear();
+			this.runningAttempts.keySet().forEach((task) -> SimulatedWorkers.this.runningTasks.remove(task));
+			this.runningAttempts.clear();
 		}
 
-		void fails(boolean isFailing) {
-			this.fails = isFailing;
+		void setFailing(boolean isFailing) {
+			this.failing = isFailing;
 		}
 
-		void losesStartAnswers(boolean loses) {
-			this.losesStartAnswers = loses;
+		void setLosesStartResponses(boolean loses) {
+			this.losesStartResponses = loses;
 		}
 
-		void startsLate(long millis) {
-			this.startsLateMillis = millis;
+		void setStartDelayMillis(long millis) {
+			this.startDelayMillis = millis;
 		}
 
 		int runningCount() {
-			return this.running.size();
+			return this.runningAttempts.size();
 		}
 
-		private boolean isFenced(long token) {
-			if (token < this.fence) {
+		private boolean rejectsFencingToken(long token) {
+			if (token < this.highestFencingToken) {
 				return true;
 			}
-			this.fence = token;
+			this.highestFencingToken = token;
 			return false;
 		}
 
-		private void lease(long until) {
-			this.leaseMillis = Math.max(this.leaseMillis, until);
-			SimulatedWorkers.this.time.schedule(this::lapse,
+		private void extendLease(long until) {
+			this.leaseEndMillis = Math.max(this.leaseEndMillis, until);
+			SimulatedWorkers.this.time.schedule(this::terminateIfLeaseExpired,
 					Math.max(0, until - SimulatedWorkers.this.time.millis()) + 1, TimeUnit.MILLISECONDS);
 		}
 
-		private void lapse() {
-			if (SimulatedWorkers.this.time.millis() > this.leaseMillis) {
-				List.copyOf(this.running.keySet()).forEach((task) -> end(task, EndKind.LAPSED));
+		private void terminateIfLeaseExpired() {
+			if (SimulatedWorkers.this.time.millis() > this.leaseEndMillis) {
+				List.copyOf(this.runningAttempts.keySet()).forEach((task) -> terminate(task, TerminationReason.LAPSED));
 			}
 		}
 
-		private void end(TaskKey task, EndKind kind) {
-			Integer attempt = this.running.remove(task);
+		private void terminate(TaskKey task, TerminationReason kind) {
+			Integer attempt = this.runningAttempts.remove(task);
 			if (attempt == null) {
 				return;
 			}
-			SimulatedWorkers.this.alive.remove(task);
-			this.highestEnded.merge(task, attempt, Math::max);
-			this.ends++;
-			this.ended.add(new EndedTask(this.ends, task, attempt, kind, ""));
+			SimulatedWorkers.this.runningTasks.remove(task);
+			this.highestTerminatedAttempts.merge(task, attempt, Math::max);
+			this.lastSequence++;
+			this.terminatedTasks.add(new TerminatedTask(this.lastSequence, task, attempt, kind, ""));
 		}
 
-		private void begin(TaskKey task, int attempt) {
+		private void startRun(TaskKey task, int attempt) {
 			SimulatedWorkers workers = SimulatedWorkers.this;
-			workers.starts.merge(task, 1, Integer::sum);
-			if (workers.alive.putIfAbsent(task, attempt) != null) {
-				workers.faults.add("two runs of " + task);
+			workers.startCounts.merge(task, 1, Integer::sum);
+			if (workers.runningTasks.putIfAbsent(task, attempt) != null) {
+				workers.violations.add("two runs of " + task);
 			}
-			if (workers.acknowledged.contains(task)) {
-				workers.faults.add("a start after the acknowledged end of " + task);
+			if (workers.acknowledgedTasks.contains(task)) {
+				workers.violations.add("a start after the acknowledged end of " + task);
 			}
-			this.running.put(task, attempt);
-			if (!this.info.capacity().covers(workers.taskSize.times(this.running.size()))) {
-				workers.faults.add("over the capacity of " + this.info.id());
+			this.runningAttempts.put(task, attempt);
+			if (!this.info.capacity().covers(workers.taskSize.times(this.runningAttempts.size()))) {
+				workers.violations.add("over the capacity of " + this.info.id());
 			}
-			EndKind kind = this.fails ? EndKind.FAILED : EndKind.DONE;
-			workers.time.schedule(() -> endOf(task, attempt, kind), workers.runMillis.applyAsLong(task),
+			TerminationReason kind = this.failing ? TerminationReason.FAILED : TerminationReason.DONE;
+			workers.time.schedule(() -> terminateAttempt(task, attempt, kind), workers.runMillis.applyAsLong(task),
 					TimeUnit.MILLISECONDS);
 		}
 
-		private void endOf(TaskKey task, int attempt, EndKind kind) {
-			if (Integer.valueOf(attempt).equals(this.running.get(task))) {
-				end(task, kind);
+		private void terminateAttempt(TaskKey task, int attempt, TerminationReason kind) {
+			if (Integer.valueOf(attempt).equals(this.runningAttempts.get(task))) {
+				terminate(task, kind);
 			}
 		}
 
-		private StartOutcome start(StartOrder order) {
+		private RunRequestOutcome start(RunStartRequest order) {
 			long now = SimulatedWorkers.this.time.millis();
-			if (isFenced(order.fence())) {
-				return new StartOutcome(Kind.FENCED, now);
+			if (rejectsFencingToken(order.fencingToken())) {
+				return new RunRequestOutcome(Kind.FENCED, now);
 			}
-			if (order.leaseMillis() < now) {
-				return new StartOutcome(Kind.TOO_LATE, now);
+			if (order.leaseEndMillis() < now) {
+				return new RunRequestOutcome(Kind.TOO_LATE, now);
 			}
-			lease(order.leaseMillis());
-			if (Integer.valueOf(order.attempt()).equals(this.running.get(order.task()))) {
-				return new StartOutcome(Kind.DONE, now);
+			extendLease(order.leaseEndMillis());
+			if (Integer.valueOf(order.attempt()).equals(this.runningAttempts.get(order.task()))) {
+				return new RunRequestOutcome(Kind.DONE, now);
 			}
-			if (this.highestEnded.getOrDefault(order.task(), 0) >= order.attempt()) {
-				return new StartOutcome(Kind.OLD_ATTEMPT, now);
+			if (this.highestTerminatedAttempts.getOrDefault(order.task(), 0) >= order.attempt()) {
+				return new RunRequestOutcome(Kind.OLD_ATTEMPT, now);
 			}
-			begin(order.task(), order.attempt());
-			return new StartOutcome(Kind.DONE, now);
+			startRun(order.task(), order.attempt());
+			return new RunRequestOutcome(Kind.DONE, now);
 		}
 
-		private StartOutcome stop(TaskKey task, int attempt, long token) {
+		private RunRequestOutcome stop(TaskKey task, int attempt, long token) {
 			long now = SimulatedWorkers.this.time.millis();
-			if (isFenced(token)) {
-				return new StartOutcome(Kind.FENCED, now);
+			if (rejectsFencingToken(token)) {
+				return new RunRequestOutcome(Kind.FENCED, now);
 			}
-			this.highestEnded.merge(task, attempt, Math::max);
-			if (Integer.valueOf(attempt).equals(this.running.get(task))) {
-				end(task, EndKind.STOPPED);
+			this.highestTerminatedAttempts.merge(task, attempt, Math::max);
+			if (Integer.valueOf(attempt).equals(this.runningAttempts.get(task))) {
+				terminate(task, TerminationReason.STOPPED);
 			}
-			return new StartOutcome(Kind.DONE, now);
+			return new RunRequestOutcome(Kind.DONE, now);
 		}
 
-		private LookOutcome look(LookOrder order) {
-			if (isFenced(order.fence())) {
-				return new LookOutcome.Fenced();
+		private PollOutcome poll(PollRequest order) {
+			if (rejectsFencingToken(order.fencingToken())) {
+				return new PollOutcome.Fenced();
 			}
-			order.leaseMillis().ifPresent(this::lease);
-			for (EndedTask end : List.copyOf(this.ended)) {
-				if (end.number() <= order.acknowledged()) {
-					this.ended.remove(end);
-					if (end.kind() == EndKind.DONE) {
-						SimulatedWorkers.this.acknowledged.add(end.task());
+			order.leaseEndMillis().ifPresent(this::extendLease);
+			for (TerminatedTask end : List.copyOf(this.terminatedTasks)) {
+				if (end.sequence() <= order.acknowledgedSequence()) {
+					this.terminatedTasks.remove(end);
+					if (end.reason() == TerminationReason.DONE) {
+						SimulatedWorkers.this.acknowledgedTasks.add(end.task());
 					}
 				}
 			}
 			List<RunningTask> now = new ArrayList<>();
-			this.running.forEach((task, attempt) -> now.add(new RunningTask(task, attempt, "", 100, 0)));
-			return new LookOutcome.Seen(SimulatedWorkers.this.time.millis(), now, this.ended);
+			this.runningAttempts.forEach((task, attempt) -> now.add(new RunningTask(task, attempt, "", 100, 0)));
+			return new PollOutcome.Report(SimulatedWorkers.this.time.millis(), now, this.terminatedTasks);
 		}
 
 	}
 
 	/** One process's way to the workers. */
-	final class Client implements WorkerOrders {
+	final class Client implements WorkerClient {
 
-		private final Set<String> cut = new HashSet<>();
+		private final Set<String> disconnectedWorkers = new HashSet<>();
 
-		void cut(String worker) {
-			this.cut.add(worker);
+		void disconnect(String worker) {
+			this.disconnectedWorkers.add(worker);
 		}
 
-		void join(String worker) {
-			this.cut.remove(worker);
+		void reconnect(String worker) {
+			this.disconnectedWorkers.remove(worker);
 		}
 
-		private boolean isAway(Machine machine) {
-			return machine.crashed || this.cut.contains(machine.info.id());
+		private boolean isUnreachable(SimulatedWorker machine) {
+			return machine.crashed || this.disconnectedWorkers.contains(machine.info.id());
 		}
 
-		private Machine machine(WorkerInfo worker) {
-			return SimulatedWorkers.this.machines.get(worker.id());
+		private SimulatedWorker findWorker(WorkerInfo worker) {
+			return SimulatedWorkers.this.workers.get(worker.id());
 		}
 
 		@Override
-		public CompletableFuture<LookOutcome> look(WorkerInfo worker, LookOrder order) {
-			CompletableFuture<LookOutcome> answer = new CompletableFuture<>();
-			Machine machine = machine(worker);
-			if (isAway(machine)) {
-				after(NO_ANSWER_MILLIS, () -> answer.complete(new LookOutcome.NoAnswer("no answer")));
+		public CompletableFuture<PollOutcome> poll(WorkerInfo worker, PollRequest order) {
+			CompletableFuture<PollOutcome> answer = new CompletableFuture<>();
+			SimulatedWorker machine = findWorker(worker);
+			if (isUnreachable(machine)) {
+				after(REQUEST_TIMEOUT_MILLIS, () -> answer.complete(new PollOutcome.NoAnswer("no answer")));
 				return answer;
 			}
-			after(WAY_MILLIS, () -> {
-				LookOutcome first = machine.look(order);
-				boolean waits = first instanceof LookOutcome.Seen seen && seen.ended().isEmpty()
-						&& !order.patience().isZero();
-				after(waits ? 40 : WAY_MILLIS,
-						() -> answer.complete(isAway(machine) ? new LookOutcome.NoAnswer("cut") : machine.look(order)));
+			after(ONE_WAY_LATENCY_MILLIS, () -> {
+				PollOutcome first = machine.poll(order);
+				boolean waits = first instanceof PollOutcome.Report seen && seen.terminatedTasks().isEmpty()
+						&& !order.maxWait().isZero();
+				after(waits ? 40 : ONE_WAY_LATENCY_MILLIS, () -> answer
+					.complete(isUnreachable(machine) ? new PollOutcome.NoAnswer("cut") : machine.poll(order)));
 			});
 			return answer;
 		}
 
 		@Override
-		public CompletableFuture<StartOutcome> start(WorkerInfo worker, StartOrder order) {
-			Machine machine = machine(worker);
-			CompletableFuture<StartOutcome> answer = new CompletableFuture<>();
-			if (isAway(machine)) {
-				after(NO_ANSWER_MILLIS, () -> answer.complete(StartOutcome.NO_ANSWER));
+		public CompletableFuture<RunRequestOutcome> start(WorkerInfo worker, RunStartRequest order) {
+			SimulatedWorker machine = findWorker(worker);
+			CompletableFuture<RunRequestOutcome> answer = new CompletableFuture<>();
+			if (isUnreachable(machine)) {
+				after(REQUEST_TIMEOUT_MILLIS, () -> answer.complete(RunRequestOutcome.NO_ANSWER));
 			}
-			else if (machine.startsLateMillis > 0) {
-				after(machine.startsLateMillis, () -> machine.start(order));
-				after(NO_ANSWER_MILLIS, () -> answer.complete(StartOutcome.NO_ANSWER));
+			else if (machine.startDelayMillis > 0) {
+				after(machine.startDelayMillis, () -> machine.start(order));
+				after(REQUEST_TIMEOUT_MILLIS, () -> answer.complete(RunRequestOutcome.NO_ANSWER));
 			}
-			else if (machine.losesStartAnswers) {
-				after(WAY_MILLIS, () -> machine.start(order));
-				after(NO_ANSWER_MILLIS, () -> answer.complete(StartOutcome.NO_ANSWER));
+			else if (machine.losesStartResponses) {
+				after(ONE_WAY_LATENCY_MILLIS, () -> machine.start(order));
+				after(REQUEST_TIMEOUT_MILLIS, () -> answer.complete(RunRequestOutcome.NO_ANSWER));
 			}
 			else {
-				after(WAY_MILLIS, () -> {
-					StartOutcome outcome = machine.start(order);
-					after(WAY_MILLIS, () -> answer.complete(outcome));
+				after(ONE_WAY_LATENCY_MILLIS, () -> {
+					RunRequestOutcome outcome = machine.start(order);
+					after(ONE_WAY_LATENCY_MILLIS, () -> answer.complete(outcome));
 				});
 			}
 			return answer;
 		}
 
 		@Override
-		public CompletableFuture<StartOutcome> stop(WorkerInfo worker, TaskKey task, int attempt, long fence) {
-			Machine machine = machine(worker);
-			CompletableFuture<StartOutcome> answer = new CompletableFuture<>();
-			if (isAway(machine)) {
-				after(NO_ANSWER_MILLIS, () -> answer.complete(StartOutcome.NO_ANSWER));
+		public CompletableFuture<RunRequestOutcome> stop(WorkerInfo worker, TaskKey task, int attempt, long fence) {
+			SimulatedWorker machine = findWorker(worker);
+			CompletableFuture<RunRequestOutcome> answer = new CompletableFuture<>();
+			if (isUnreachable(machine)) {
+				after(REQUEST_TIMEOUT_MILLIS, () -> answer.complete(RunRequestOutcome.NO_ANSWER));
 				return answer;
 			}
-			after(WAY_MILLIS, () -> {
-				StartOutcome outcome = machine.stop(task, attempt, fence);
-				after(WAY_MILLIS, () -> answer.complete(outcome));
+			after(ONE_WAY_LATENCY_MILLIS, () -> {
+				RunRequestOutcome outcome = machine.stop(task, attempt, fence);
+				after(ONE_WAY_LATENCY_MILLIS, () -> answer.complete(outcome));
 			});
 			return answer;
 		}
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/TakeOverLoadingTests.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/TakeOverLoadingTests.java
@@ -31,7 +31,7 @@
 		this.cell.table.blockReads("");
 		this.cell.time.runFor(2000);
 		this.cell.assertCompleted("silent");
-		assertThat(this.cell.workers.startsOf(new TaskKey("silent", 0, 0, 0))).isEqualTo(1);
+		assertThat(this.cell.workers.startCount(new TaskKey("silent", 0, 0, 0))).isEqualTo(1);
 	}
 
 	@Test
@@ -57,8 +57,8 @@
 	@Test
 	void failuresThatWereNotDurableCountInWhateverOrderTheyAreSeen() {
 		SimulatedCell cell = new SimulatedCell();
-		cell.workers.add("w0", SimulatedCell.CAPACITY).fails(true);
-		cell.workers.add("w1", SimulatedCell.CAPACITY).fails(true);
+		cell.workers.add("w0", SimulatedCell.CAPACITY).setFailing(true);
+		cell.workers.add("w1", SimulatedCell.CAPACITY).setFailing(true);
 		SimulatedCell.Scheduler first = cell.addScheduler();
 		cell.time.runFor(500);
 		cell.submit("a", 2, SimulatedCell.step(1, false));
@@ -68,12 +68,12 @@
 		first.kill();
 		cell.table.setDown(false);
 		SimulatedCell.Scheduler next = cell.addScheduler();
-		next.workerClient.cut("w0");
+		next.workerClient.disconnect("w0");
 		cell.time.runFor(4000);
-		next.workerClient.join("w0");
+		next.workerClient.reconnect("w0");
 		cell.time.runFor(LEASE_OVER_MILLIS);
 		assertThat(cell.durableState("a")).isEqualTo(SubmissionState.FAILED);
-		assertThat(cell.workers.startsOf(new TaskKey("a", 0, 0, 0))).isEqualTo(2);
+		assertThat(cell.workers.startCount(new TaskKey("a", 0, 0, 0))).isEqualTo(2);
 	}
 
 	@Test
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/TakeOverTests.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/TakeOverTests.java
@@ -24,7 +24,7 @@
 			TakeOverTests.this.cell.time.runFor(6000);
 			TakeOverTests.this.cell.assertCompleted("a");
 			for (int i = 0; i < 6; i++) {
-				assertThat(TakeOverTests.this.cell.workers.startsOf(new TaskKey("a", 0, 0, i))).isEqualTo(1);
+				assertThat(TakeOverTests.this.cell.workers.startCount(new TaskKey("a", 0, 0, i))).isEqualTo(1);
 			}
 		}
 
@@ -133,7 +133,7 @@
 			TakeOverTests.this.cell.time.runFor(500);
 			TakeOverTests.this.cell.submit("a", SimulatedCell.step(2, false));
 			TakeOverTests.this.cell.time.runFor(700);
-			assertThat(TakeOverTests.this.cell.workers.startsOf(new TaskKey("a", 0, 0, 0))).isZero();
+			assertThat(TakeOverTests.this.cell.workers.startCount(new TaskKey("a", 0, 0, 0))).isZero();
 			only.tableClient.setRejectsRequests(false);
 			TakeOverTests.this.cell.time.runFor(2000);
 			TakeOverTests.this.cell.assertCompleted("a");
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/TakeOverBesideSilentWorkersTests.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/TakeOverWithUnreachableWorkersTests.java
@@ -7,16 +7,16 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class TakeOverBesideSilentWorkersTests {
+class TakeOverWithUnreachableWorkersTests {
 
-	private static final long LEASE_OVER_MILLIS = 10_000;
+	private static final long LEASE_EXPIRY_MILLIS = 10_000;
 
-	private static final long STEP_MILLIS = 10;
+	private static final long TIME_STEP_MILLIS = 10;
 
 	private final SimulatedCell cell = new SimulatedCell().withWorkers(3);
 
 	@Test
-	void aWorkerThatLeftWithoutRunsHoldsUpNoSuccessor() {
+	void aWorkerThatLeftWithoutRunsDoesNotDelayTheNextOwner() {
 		SimulatedCell.Scheduler first = this.cell.startOwnerAndStandby();
 		this.cell.workers.crash("w0");
 		this.cell.time.runFor(1500);
@@ -27,23 +27,23 @@
 	}
 
 	@Test
-	void aTaskOnAWorkerThatDoesNotAnswerHoldsUpNoOther() {
+	void aTaskOnAnUnreachableWorkerDelaysNoOtherTask() {
 		SimulatedCell.Scheduler first = this.cell.startOwnerAndStandby();
 		String holder = startLongTask();
-		first.workerClient.cut(holder);
+		first.workerClient.disconnect(holder);
 		this.cell.time.runFor(1500);
 		submitTwoGangs();
-		this.cell.schedulers.get(1).workerClient.cut(holder);
+		this.cell.schedulers.get(1).workerClient.disconnect(holder);
 		first.kill();
 		this.cell.time.runFor(2500);
 		this.cell.assertCompleted("a", "b");
-		assertThat(this.cell.workers.startsOf(new TaskKey("long", 0, 0, 0))).isEqualTo(1);
-		this.cell.time.runFor(2 * LEASE_OVER_MILLIS);
+		assertThat(this.cell.workers.startCount(new TaskKey("long", 0, 0, 0))).isEqualTo(1);
+		this.cell.time.runFor(2 * LEASE_EXPIRY_MILLIS);
 		this.cell.assertCompleted("long");
 	}
 
 	@Test
-	void aTaskOnAWorkerThatLeavesHoldsUpNoOther() {
+	void aTaskOnADrainingWorkerDelaysNoOtherTask() {
 		SimulatedCell.Scheduler first = this.cell.startOwnerAndStandby();
 		String holder = startLongTask();
 		this.cell.workers.drain(holder);
@@ -53,69 +53,69 @@
 		first.kill();
 		this.cell.time.runFor(2500);
 		this.cell.assertCompleted("a", "b");
-		this.cell.time.runFor(2 * LEASE_OVER_MILLIS);
+		this.cell.time.runFor(2 * LEASE_EXPIRY_MILLIS);
 		this.cell.assertCompleted("long");
 	}
 
 	@Test
-	void aJobThatTheFormerOwnerMayHaveStartedIsNotStartedBeside() {
+	void aJobThatTheFormerOwnerMayHaveStartedIsNotStartedTwice() {
 		SimulatedCell.Scheduler first = this.cell.addScheduler();
-		first.workerClient.cut("w1");
-		first.workerClient.cut("w2");
+		first.workerClient.disconnect("w1");
+		first.workerClient.disconnect("w2");
 		this.cell.time.runFor(500);
-		this.cell.addScheduler().workerClient.cut("w0");
+		this.cell.addScheduler().workerClient.disconnect("w0");
 		this.cell.time.runFor(1000);
 		first.muteToPeers();
 		first.tableClient.setWriteDelay(60_000);
 		SimulatedCell.Scheduler second = this.cell.schedulers.get(1);
-		runUntilOwner(second, 1000);
+		runUntilOwnershipIsTaken(second, 1000);
 		this.cell.submit("a", SimulatedCell.step(2, false));
-		this.cell.time.runFor(2 * LEASE_OVER_MILLIS);
+		this.cell.time.runFor(2 * LEASE_EXPIRY_MILLIS);
 		this.cell.assertCompleted("a");
 	}
 
 	@Test
-	void aJobThatComesAfterATakeOverIsStartedAtOnceThoughNotAllWorkersCanBeReached() {
+	void aJobSubmittedAfterATakeOverIsStartedAtOnceDespiteUnreachableWorkers() {
 		SimulatedCell.Scheduler first = this.cell.startOwnerAndStandby();
 		SimulatedCell.Scheduler second = this.cell.schedulers.get(1);
 		this.cell.time.runFor(1000);
-		second.workerClient.cut("w0");
+		second.workerClient.disconnect("w0");
 		first.muteToPeers();
 		first.tableClient.setDisconnected(true);
-		runUntilOwner(second, 2000);
+		runUntilOwnershipIsTaken(second, 2000);
 		this.cell.submit("a", SimulatedCell.step(2, false));
 		this.cell.time.runFor(1500);
 		this.cell.assertCompleted("a");
 	}
 
 	@Test
-	void aFormerOwnerThatOnlyReadsStartsNoJobThatCameAfterItsLastWrite() {
+	void aFormerOwnerThatCannotWriteStartsNoJobSubmittedAfterItsLastWrite() {
 		SimulatedCell.Scheduler first = this.cell.startOwnerAndStandby();
 		SimulatedCell.Scheduler second = this.cell.schedulers.get(1);
 		this.cell.time.runFor(1000);
-		second.workerClient.cut("w0");
-		second.workerClient.cut("w1");
-		first.workerClient.cut("w2");
+		second.workerClient.disconnect("w0");
+		second.workerClient.disconnect("w1");
+		first.workerClient.disconnect("w2");
 		first.muteToPeers();
 		first.tableClient.setWriteDelay(60_000);
 		this.cell.time.runFor(60);
 		this.cell.submit("a", SimulatedCell.step(2, false));
-		runUntilOwner(second, 2000);
+		runUntilOwnershipIsTaken(second, 2000);
 		this.cell.submit("b", SimulatedCell.step(2, false));
 		this.cell.time.runFor(1500);
 		this.cell.assertCompleted("b");
-		this.cell.time.runFor(2 * LEASE_OVER_MILLIS);
+		this.cell.time.runFor(2 * LEASE_EXPIRY_MILLIS);
 		this.cell.assertCompleted("a", "b");
 	}
 
 	@Test
-	void itIsAskedWhoMayRunAJobThatHasToWaitForThem() {
+	void eligibilityIsRequestedForAJobThatWaitsForUnreconciledWorkers() {
 		this.cell.withEligibility();
 		SimulatedCell.Scheduler first = this.cell.startOwnerAndStandby();
 		SimulatedCell.Scheduler second = this.cell.schedulers.get(1);
 		this.cell.submit("a", SimulatedCell.step(20, false));
 		this.cell.time.runFor(60);
-		second.workerClient.cut("w0");
+		second.workerClient.disconnect("w0");
 		first.kill();
 		this.cell.decisions.clear();
 		this.cell.time.runFor(2000);
@@ -125,13 +125,13 @@
 	}
 
 	@Test
-	void tasksOnAWorkerThatTheSuccessorCannotReachWaitForItsLease() {
+	void tasksOnAWorkerUnreachableForTheNextOwnerWaitForItsLeaseToExpire() {
 		SimulatedCell.Scheduler first = this.cell.startOwnerAndStandby();
 		this.cell.submit("a", SimulatedCell.step(12, false));
 		this.cell.time.runFor(60);
-		this.cell.schedulers.get(1).workerClient.cut("w0");
+		this.cell.schedulers.get(1).workerClient.disconnect("w0");
 		first.tableClient.setDisconnected(true);
-		this.cell.time.runFor(2 * LEASE_OVER_MILLIS);
+		this.cell.time.runFor(2 * LEASE_EXPIRY_MILLIS);
 		this.cell.assertCompleted("a");
 	}
 
@@ -146,12 +146,12 @@
 		this.cell.submit("long", SimulatedCell.step(1, false));
 		this.cell.time.runFor(200);
 		this.cell.withRunMillis(SimulatedCell.RUN_MILLIS);
-		return this.cell.workers.holderOf(new TaskKey("long", 0, 0, 0));
+		return this.cell.workers.workerRunning(new TaskKey("long", 0, 0, 0));
 	}
 
-	private void runUntilOwner(SimulatedCell.Scheduler next, long mostMillis) {
-		for (long passed = 0; passed < mostMillis && next.owner.isEmpty(); passed += STEP_MILLIS) {
-			this.cell.time.runFor(STEP_MILLIS);
+	private void runUntilOwnershipIsTaken(SimulatedCell.Scheduler next, long mostMillis) {
+		for (long passed = 0; passed < mostMillis && next.owner.isEmpty(); passed += TIME_STEP_MILLIS) {
+			this.cell.time.runFor(TIME_STEP_MILLIS);
 		}
 	}
 
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/UnknownJobsTests.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/UnknownJobsTests.java
@@ -18,17 +18,17 @@
 
 	private void aFormerOwnerHasStartedATaskThatRunsFor(long millis) {
 		this.cell.withRunMillis(millis);
-		WorkerInfo worker = this.cell.workers.list().get(0);
+		WorkerInfo worker = this.cell.workers.listedWorkers().get(0);
 		long lease = this.cell.time.millis() + OwnerLease.MAX_ORDER_VALIDITY_MILLIS;
-		this.cell.workers.client().start(worker, new StartOrder(TASK, 1, "text", lease, 0, "", ""));
+		this.cell.workers.client().start(worker, new RunStartRequest(TASK, 1, "text", lease, 0, "", ""));
 		this.cell.time.runFor(10);
 		this.cell.withRunMillis(SimulatedCell.RUN_MILLIS);
 	}
 
 	private void isServedOnce() {
 		assertThat(this.cell.durableState(TASK.job())).isEqualTo(SubmissionState.COMPLETED);
-		assertThat(this.cell.workers.startsOf(TASK)).isEqualTo(1);
-		assertThat(this.cell.workers.faults()).isEmpty();
+		assertThat(this.cell.workers.startCount(TASK)).isEqualTo(1);
+		assertThat(this.cell.workers.violations()).isEmpty();
 	}
 
 	@Nested
@@ -39,7 +39,7 @@
 			aFormerOwnerHasStartedATaskThatRunsFor(3000);
 			UnknownJobsTests.this.cell.addScheduler();
 			UnknownJobsTests.this.cell.time.runFor(LOOKED_MILLIS);
-			assertThat(UnknownJobsTests.this.cell.workers.aliveCount()).isEqualTo(1);
+			assertThat(UnknownJobsTests.this.cell.workers.runningTaskCount()).isEqualTo(1);
 			UnknownJobsTests.this.cell.submit(TASK.job(), SimulatedCell.step(1, false));
 			UnknownJobsTests.this.cell.time.runFor(4000);
 			isServedOnce();
@@ -66,7 +66,7 @@
 			UnknownJobsTests.this.cell.time.runFor(1500);
 			isServedOnce();
 			assertThat(UnknownJobsTests.this.cell.durableState("known")).isEqualTo(SubmissionState.COMPLETED);
-			assertThat(UnknownJobsTests.this.cell.workers.startsOf(new TaskKey("known", 0, 0, 0))).isEqualTo(1);
+			assertThat(UnknownJobsTests.this.cell.workers.startCount(new TaskKey("known", 0, 0, 0))).isEqualTo(1);
 		}
 
 	}
@@ -79,7 +79,7 @@
 			aFormerOwnerHasStartedATaskThatRunsFor(60_000);
 			UnknownJobsTests.this.cell.addScheduler();
 			UnknownJobsTests.this.cell.time.runFor(UnknownJobs.ROW_WAIT_MILLIS + 2000);
-			assertThat(UnknownJobsTests.this.cell.workers.aliveCount()).isZero();
+			assertThat(UnknownJobsTests.this.cell.workers.runningTaskCount()).isZero();
 			UnknownJobsTests.this.cell.submit("known", SimulatedCell.step(4, false));
 			UnknownJobsTests.this.cell.time.runFor(2000);
 			assertThat(UnknownJobsTests.this.cell.durableState("known")).isEqualTo(SubmissionState.COMPLETED);
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/UnreadableJobsTests.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/UnreadableJobsTests.java
@@ -37,9 +37,9 @@
 
 	private void aTaskOfTheOtherJobRunsFor(long millis) {
 		this.cell.withRunMillis(millis);
-		WorkerInfo worker = this.cell.workers.list().get(0);
+		WorkerInfo worker = this.cell.workers.listedWorkers().get(0);
 		long lease = this.cell.time.millis() + OwnerLease.MAX_ORDER_VALIDITY_MILLIS;
-		this.cell.workers.client().start(worker, new StartOrder(TASK, 1, "text", lease, 0, "", ""));
+		this.cell.workers.client().start(worker, new RunStartRequest(TASK, 1, "text", lease, 0, "", ""));
 		this.cell.time.runFor(10);
 		this.cell.withRunMillis(SimulatedCell.RUN_MILLIS);
 	}
@@ -60,7 +60,7 @@
 			UnreadableJobsTests.this.cell.addScheduler();
 			UnreadableJobsTests.this.cell.time.runFor(SERVED_MILLIS);
 			UnreadableJobsTests.this.cell.assertCompleted("known");
-			assertThat(UnreadableJobsTests.this.cell.workers.startsOf(TASK)).isZero();
+			assertThat(UnreadableJobsTests.this.cell.workers.startCount(TASK)).isZero();
 			assertThat(told(JobTables.PROGRESS)).isEqualTo(1);
 		}
 
@@ -73,8 +73,8 @@
 			UnreadableJobsTests.this.cell.addScheduler();
 			UnreadableJobsTests.this.cell.time.runFor(UnknownJobs.ROW_WAIT_MILLIS + SERVED_MILLIS);
 			UnreadableJobsTests.this.cell.assertCompleted("known");
-			assertThat(UnreadableJobsTests.this.cell.workers.aliveCount()).isEqualTo(1);
-			assertThat(UnreadableJobsTests.this.cell.workers.startsOf(TASK)).isEqualTo(1);
+			assertThat(UnreadableJobsTests.this.cell.workers.runningTaskCount()).isEqualTo(1);
+			assertThat(UnreadableJobsTests.this.cell.workers.startCount(TASK)).isEqualTo(1);
 		}
 
 		@Test
@@ -86,7 +86,7 @@
 			writeProgress("{\"state\":\"QUEUED\",\"steps\":{},\"later\":1}");
 			UnreadableJobsTests.this.cell.time.runFor(SERVED_MILLIS);
 			UnreadableJobsTests.this.cell.assertCompleted("other");
-			assertThat(UnreadableJobsTests.this.cell.workers.startsOf(TASK)).isEqualTo(1);
+			assertThat(UnreadableJobsTests.this.cell.workers.startCount(TASK)).isEqualTo(1);
 		}
 
 	}
@@ -104,8 +104,8 @@
 			cell.submit("second", SimulatedCell.step(1, false));
 			cell.time.runFor(OwnerLease.MAX_ORDER_VALIDITY_MILLIS + 6000);
 			cell.assertCompleted("first");
-			assertThat(cell.workers.startsOf(new TaskKey("first", 0, 0, 0))).isEqualTo(1);
-			assertThat(cell.workers.startsOf(new TaskKey("second", 0, 0, 0))).isZero();
+			assertThat(cell.workers.startCount(new TaskKey("first", 0, 0, 0))).isEqualTo(1);
+			assertThat(cell.workers.startCount(new TaskKey("second", 0, 0, 0))).isZero();
 		}
 
 	}
@@ -144,7 +144,7 @@
 			write(JobTables.JOBS, JobTables.partition("other"), "other", "{");
 			UnreadableJobsTests.this.cell.addScheduler();
 			UnreadableJobsTests.this.cell.time.runFor(UnknownJobs.ROW_WAIT_MILLIS + SERVED_MILLIS);
-			assertThat(UnreadableJobsTests.this.cell.workers.aliveCount()).isEqualTo(1);
+			assertThat(UnreadableJobsTests.this.cell.workers.runningTaskCount()).isEqualTo(1);
 		}
 
 	}
@@ -178,13 +178,13 @@
 		@Test
 		void namesNoTaskForGuesses() {
 			WorkerPool pool = new WorkerPool();
-			pool.inherit(new OwnerRecord("h", "s0", 1, 1, false, java.util.List.of("w0"),
+			pool.recoverFrom(new OwnerRecord("h", "s0", 1, 1, false, java.util.List.of("w0"),
 					java.util.Map.of("w1", java.util.List.of("not a task")), HostSize.UNKNOWN, java.util.List.of(),
 					true));
-			pool.accounted("w0");
-			assertThat(pool.isAccounted()).isFalse();
-			pool.accounted("w1");
-			assertThat(pool.isAccounted()).isTrue();
+			pool.markReconciled("w0");
+			assertThat(pool.isFullyReconciled()).isFalse();
+			pool.markReconciled("w1");
+			assertThat(pool.isFullyReconciled()).isTrue();
 		}
 
 	}
--- a/monsoonrelay-scheduler/src/main/java/org/monsoonrelay/scheduler/pool/PoolScheduler.java
+++ b/monsoonrelay-scheduler/src/main/java/org/monsoonrelay/scheduler/pool/PoolScheduler.java
@@ -20,10 +20,10 @@
 import org.monsoonrelay.logic.platform.UnreadableRows;
 import org.monsoonrelay.logic.pool.HostRecord;
 import org.monsoonrelay.logic.pool.JobTableReplica;
-import org.monsoonrelay.logic.pool.LookOrder;
 import org.monsoonrelay.logic.pool.OwnerElection;
 import org.monsoonrelay.logic.pool.OwnerRecord;
 import org.monsoonrelay.logic.pool.PeerNotifier;
+import org.monsoonrelay.logic.pool.PollRequest;
 import org.monsoonrelay.logic.pool.PoolClock;
 import org.monsoonrelay.logic.pool.PoolDependencies;
 import org.monsoonrelay.logic.pool.PoolOwner;
@@ -237,9 +237,9 @@
 		HostAddress unused = new HostAddress(this.settings.ip(), ports.get(ports.size() - 1));
 		WorkerInfo nobody = new WorkerInfo("none", "none", unused.toString(), "none", Resources.NONE, List.of(), "none",
 				false, 0);
-		LookOrder look = new LookOrder(0, 0, OptionalLong.empty(), Duration.ZERO);
+		PollRequest look = new PollRequest(0, 0, OptionalLong.empty(), Duration.ZERO);
 		for (int i = 0; i < TRAINING_CALLS; i++) {
-			this.ports.orders().look(nobody, look).join();
+			this.ports.orders().poll(nobody, look).join();
 			this.ports.table().commit(PartitionWrite.to("none")).join();
 		}
 	}
