--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/placement/AttemptEvent.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/placement/AttemptEvent.java
@@ -4,12 +4,12 @@
 import org.monsoonrelay.model.worker.WorkerId;
 
 /**
- * What a rack's owner tells a queue owner of an attempt, until it is acknowledged.
- * Immutable.
+ * State of an attempt that a rack owner reports to a queue owner, repeated until it is
+ * acknowledged. Immutable.
  *
  * @param attempt the attempt
- * @param kind what is known
- * @param worker the worker
+ * @param kind the reported state
+ * @param worker the worker it was placed on
  */
 public record AttemptEvent(AttemptId attempt, AttemptEventKind kind, WorkerId worker) {
 
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/placement/AttemptEventKind.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/placement/AttemptEventKind.java
@@ -1,29 +1,29 @@
 package org.monsoonrelay.logic.placement;
 
 /**
- * What a rack's owner knows of an attempt.
+ * State of an attempt as known to the owner of its rack.
  */
 public enum AttemptEventKind {
 
-	/** A worker runs it. */
+	/** A worker runs the attempt. */
 	RUNNING,
 
-	/** It ended well. */
+	/** The attempt succeeded. */
 	FINISHED,
 
-	/** It ended badly. */
+	/** The attempt failed. */
 	FAILED,
 
-	/** It does not run and never will. */
+	/** The attempt does not run and never will. */
 	GONE,
 
-	/** Its worker has been silent for the lease; it may run on. */
+	/** The worker was unresponsive until its lease expired; the attempt may still run. */
 	LAPSED;
 
 	/**
-	 * Tell whether a worker has said how the attempt ended. Nothing learnt later, such as
-	 * the worker's restart or silence, says otherwise.
-	 * @return {@code true} for the two ends that a worker reports
+	 * Return whether this is an end of the attempt that its worker has reported. Such a
+	 * report is final: a later restart or an unresponsive worker does not change it.
+	 * @return {@code true} for {@link #FINISHED} and {@link #FAILED}
 	 */
 	public boolean isReportedByWorker() {
 		return this == FINISHED || this == FAILED;
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/placement/PackingPolicy.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/placement/PackingPolicy.java
@@ -8,9 +8,10 @@
 import org.monsoonrelay.model.worker.Worker;
 
 /**
- * Best fit: the worker that has the least left of its scarcest resource, so that whole
- * workers stay free. Work that asks for no accelerator takes the processors and memory
- * beside free ones only if no other worker has room. Stateless and thread-safe.
+ * Best-fit policy: chooses the worker that has the least left of its scarcest resource,
+ * so that other workers stay entirely free. A task without accelerators is placed on a
+ * worker where it would strand free accelerators only if no other worker has enough free
+ * capacity. Stateless and thread-safe.
  */
 public final class PackingPolicy implements PlacementPolicy {
 
@@ -26,11 +27,11 @@
 	}
 
 	/**
-	 * Tell whether a worker is the tighter fit of two.
-	 * @param candidate the worker
-	 * @param current the other worker
-	 * @param size what the task asks for
-	 * @return {@code true} if the first is to be preferred
+	 * Return whether a worker is a tighter fit than another one.
+	 * @param candidate the worker to compare
+	 * @param current the best worker so far
+	 * @param size the size of the task
+	 * @return {@code true} if the candidate is preferred
 	 */
 	static boolean isTighterFit(Worker candidate, Worker current, Resources size) {
 		boolean candidateStrands = candidate.free().wouldStrandAccelerators(size, candidate.capacity());
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/placement/PlacementPolicy.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/placement/PlacementPolicy.java
@@ -8,15 +8,15 @@
 import org.monsoonrelay.model.worker.Worker;
 
 /**
- * Chooses a worker for one task. Implementations are stateless.
+ * Policy that chooses a worker for one task. Implementations are stateless.
  */
 public interface PlacementPolicy {
 
 	/**
-	 * Choose among the workers of a rack.
+	 * Choose a worker of a rack.
 	 * @param job the job the task belongs to
-	 * @param size what the task asks for
-	 * @param workers the workers
+	 * @param size the size of the task
+	 * @param workers the workers of the rack
 	 * @return a worker that accepts the size, or empty if none does
 	 */
 	Optional<Worker> choose(JobId job, Resources size, Collection<Worker> workers);
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/placement/RackCandidate.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/placement/RackCandidate.java
@@ -3,40 +3,43 @@
 import org.monsoonrelay.model.capacity.Resources;
 
 /**
- * What a queue owner believes of a rack while it chooses one. Belongs to the control
- * thread.
+ * A rack that a queue owner considers for a task, with the capacity estimated from the
+ * last rack summary. Confined to the control thread.
  */
 public interface RackCandidate {
 
 	/**
-	 * Name of the rack.
+	 * Return the name of the rack.
 	 * @return the name
 	 */
 	String rack();
 
 	/**
-	 * What is believed to be free, less what was chosen since the last summary.
-	 * @return the sum over the rack's workers
+	 * Return the free capacity according to the last summary, less the choices made
+	 * since.
+	 * @return the sum over the workers of the rack
 	 */
 	Resources free();
 
 	/**
-	 * What the rack's workers have.
-	 * @return the sum over the rack's workers
+	 * Return the total capacity of the rack.
+	 * @return the sum over the workers of the rack
 	 */
 	Resources capacity();
 
 	/**
-	 * How many tasks of a size are expected to fit, as far as a summary can tell: room is
-	 * spread over the workers, and no task is.
-	 * @param size what each task asks for
-	 * @return the count, 0 if it is uncertain that one fits
+	 * Return the estimated number of tasks of a size that fit. A summary holds only sums,
+	 * so the free capacity is taken as evenly spread over the workers; a task cannot be
+	 * split between workers.
+	 * @param size the size of each task
+	 * @return the number of tasks, 0 if it is uncertain that one fits
 	 */
 	long estimatedTaskCount(Resources size);
 
 	/**
-	 * Tell whether this round asks the rack's owner for room anyway.
-	 * @return {@code true} if the rack was chosen before in this round
+	 * Return whether the rack has been chosen in this round already, so that another
+	 * choice needs no further message to its owner.
+	 * @return {@code true} if it has been chosen in this round
 	 */
 	boolean isChosenThisRound();
 
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/placement/Reservation.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/placement/Reservation.java
@@ -4,11 +4,11 @@
 import org.monsoonrelay.model.worker.WorkerId;
 
 /**
- * Room that a rack's owner holds for an attempt. Immutable.
+ * Capacity that a rack owner has reserved for an attempt. Immutable.
  *
  * @param attempt the attempt
- * @param worker the worker
- * @param incarnation the worker's incarnation
+ * @param worker the worker with the capacity
+ * @param incarnation the incarnation of the worker
  */
 public record Reservation(AttemptId attempt, WorkerId worker, String incarnation) {
 
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/placement/ReservationRequest.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/placement/ReservationRequest.java
@@ -8,16 +8,16 @@
 import org.monsoonrelay.model.workload.WorkloadKind;
 
 /**
- * A queue owner asks a rack's owner for room. Immutable.
+ * Request of a queue owner to a rack owner to reserve capacity for attempts. Immutable.
  *
  * @param rack the rack
- * @param team the team whose queue asks
- * @param kind how the tasks belong together
- * @param size what each task asks for
+ * @param team the team the job belongs to
+ * @param kind the kind of the job
+ * @param size the size of each task
  * @param runMillis declared run time of a task in milliseconds, 0 for services
  * @param attempts the attempts to place
- * @param startAtOnce whether placed attempts are started without a further word
- * @param deadline when a reservation lapses unless it is started
+ * @param startAtOnce whether placed attempts are started without a further request
+ * @param deadline when a reservation expires unless its attempt has been started
  */
 public record ReservationRequest(String rack, String team, WorkloadKind kind, Resources size, long runMillis,
 		List<AttemptId> attempts, boolean startAtOnce, Instant deadline) {
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/placement/SpreadPolicy.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/placement/SpreadPolicy.java
@@ -8,8 +8,8 @@
 import org.monsoonrelay.model.worker.Worker;
 
 /**
- * Puts replicas of one service on different workers, as far as there are enough, and
- * among these on the tightest fit. Stateless and thread-safe.
+ * Spreads the replicas of a service: chooses the worker with the fewest attempts of the
+ * job, and among these the tightest fit. Stateless and thread-safe.
  */
 public final class SpreadPolicy implements PlacementPolicy {
 
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/placement/WeightedRackPolicy.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/placement/WeightedRackPolicy.java
@@ -4,17 +4,19 @@
 import org.monsoonrelay.model.workload.PolicyWeights;
 
 /**
- * Adds what a rack costs in packing, waiting and control, by the operators' weights.
- * Packing is the free share of the scarcest resource. Waiting is the chance that the
- * rack's owner refuses, because summaries are old and others choose too; it falls with
- * the number of tasks that still fit. Control is the message to a rack that is not asked
- * in this round anyway. Stateless and thread-safe.
+ * Weighted sum of the packing, waiting and control costs of a rack, with weights set by
+ * the operators. Packing is the free share of the scarcest resource. Waiting stands for
+ * the chance that the rack owner refuses, because summaries lag and other queue owners
+ * choose the same rack; it falls with the number of tasks that still fit. Control is the
+ * cost of the message to a rack that has not been chosen in this round yet. Stateless and
+ * thread-safe.
  */
 public final class WeightedRackPolicy implements RackPolicy {
 
 	/**
-	 * More than any sum of the other terms, so that what stands beside free accelerators
-	 * is left for work that asks for them as long as there is another rack.
+	 * Larger than any sum of the other terms, so that the processors and memory next to
+	 * free accelerators are left to tasks that need accelerators as long as another rack
+	 * fits.
 	 */
 	private static final double STRANDED_ACCELERATORS_COST = 1_000;
 
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/placement/package-info.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/placement/package-info.java
@@ -1,4 +1,5 @@
 /**
- * Policies that choose workers, and the values that queue and rack owners exchange.
+ * Placement policies for racks and workers, and the messages between queue owners and
+ * rack owners.
  */
 package org.monsoonrelay.logic.placement;
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/queue/AttemptReconciler.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/queue/AttemptReconciler.java
@@ -28,11 +28,12 @@
 import org.monsoonrelay.model.workload.WorkloadKind;
 
 /**
- * Asks after attempts of which nothing certain is known, and repeats stops until the end
- * is known, because a message or a rack's owner may be lost. Invariants: an attempt in
- * doubt is given up only when a host list at least as new as the one known at its record
- * lacks its worker; no clock but this process's own is read. Not thread-safe: confined to
- * the control thread.
+ * Reconciles the recorded state of attempts with the state on their workers, because
+ * messages can be lost and rack owners can fail. Asks rack owners to resolve attempts
+ * whose state is unknown, and retries stop requests until the attempt has ended.
+ * Invariants: an attempt in doubt is given up only if its worker is missing from a host
+ * list that is at least as new as the one known when the job was last recorded; only the
+ * clock of this process is read. Not thread-safe: confined to the control thread.
  */
 final class AttemptReconciler {
 
@@ -68,6 +69,10 @@
 		this.clock = clock;
 	}
 
+	/**
+	 * Apply a host list unless it is older than the present one.
+	 * @param list the host list
+	 */
 	void update(HostList list) {
 		if (list.version() >= this.hosts.version()) {
 			this.hosts = list;
@@ -82,24 +87,28 @@
 	}
 
 	/**
-	 * Tell whether a worker is in the host list, so that its leaving the list can be
-	 * seen.
+	 * Return whether a worker is in the host list, so that its removal can be detected
+	 * later.
 	 * @param worker the worker
-	 * @return {@code true} also if no list has been read yet
+	 * @return {@code true} if it is listed, or if no host list has been read yet
 	 */
 	boolean isListed(WorkerId worker) {
 		return this.hosts.version() == 0 || this.rackByWorker.containsKey(worker.value());
 	}
 
+	/**
+	 * Return the version of the latest host list.
+	 * @return the version, {@link Long#MAX_VALUE} if no host list has been read yet
+	 */
 	long hostsVersion() {
 		return (this.hosts.version() > 0) ? this.hosts.version() : Long.MAX_VALUE;
 	}
 
 	/**
-	 * Send a stop, and again until the attempt has ended.
+	 * Send a stop request and retry it until the attempt has ended.
 	 * @param attempt the attempt
-	 * @param worker the worker it was placed on, empty if not known
-	 * @param team the team it counts against
+	 * @param worker the worker it was placed on, empty if unknown
+	 * @param team the team whose quota it uses
 	 */
 	void stop(AttemptId attempt, WorkerId worker, String team) {
 		scheduleStopRetry(attempt, worker, team);
@@ -107,10 +116,11 @@
 	}
 
 	/**
-	 * Repeat a stop that has been sent until the attempt has ended.
+	 * Schedule retries of a stop request that has been sent already. It is retried until
+	 * the attempt has ended.
 	 * @param attempt the attempt
-	 * @param worker the worker it was placed on, empty if not known
-	 * @param team the team it counts against
+	 * @param worker the worker it was placed on, empty if unknown
+	 * @param team the team whose quota it uses
 	 */
 	void scheduleStopRetry(AttemptId attempt, WorkerId worker, String team) {
 		if (!worker.value().isEmpty()) {
@@ -124,9 +134,9 @@
 	}
 
 	/**
-	 * A rack's owner has told of an attempt.
+	 * Record that a rack owner has reported the state of an attempt.
 	 * @param attempt the attempt
-	 * @param ended whether it has ended
+	 * @param ended whether the attempt has ended
 	 */
 	void recordReport(AttemptId attempt, boolean ended) {
 		this.unconfirmed.remove(attempt);
@@ -137,10 +147,10 @@
 	}
 
 	/**
-	 * A worker runs an attempt. What it replaces is stopped now, and so is an attempt
-	 * that nobody waits for any more.
+	 * Handle the report that a worker runs an attempt. Stops the earlier attempts that it
+	 * replaces, or the attempt itself if the job no longer needs it.
 	 * @param job the job
-	 * @param event what was told
+	 * @param event the reported event
 	 */
 	void handleRunning(Job job, AttemptEvent event) {
 		AttemptId attempt = event.attempt();
@@ -154,7 +164,8 @@
 	}
 
 	/**
-	 * A job was cancelled: what runs on until it is replaced is stopped, too.
+	 * Handle the cancellation of a job: stop its attempts that were kept running until
+	 * their replacements run.
 	 * @param job the job
 	 */
 	void handleCancelled(Job job) {
@@ -177,9 +188,11 @@
 	}
 
 	/**
-	 * Ask after what is in doubt. Meant to be called about once a second.
-	 * @param jobs the owned jobs
-	 * @param onGone told of attempts whose worker is gone for certain
+	 * Run one round of reconciliation: resolve attempts in unknown state, replace
+	 * services on leaving workers and retry stop requests. Intended to be called about
+	 * once a second.
+	 * @param jobs the jobs of the owned queues
+	 * @param onGone called with each attempt whose worker has been removed from the cell
 	 */
 	void reconcile(Collection<Job> jobs, BiConsumer<Job, AttemptId> onGone) {
 		Instant now = this.clock.instant();
@@ -215,8 +228,8 @@
 	}
 
 	/**
-	 * Let the replicas of a service on leaving workers be placed elsewhere. They run on
-	 * until the new ones run.
+	 * Make the replicas of a service on leaving workers eligible for placement elsewhere.
+	 * The present attempts keep running until their replacements run.
 	 * @param job the job
 	 */
 	private void replaceOnLeavingWorkers(Job job) {
@@ -255,11 +268,13 @@
 	}
 
 	/**
-	 * Tell whether the worker of a task that may run is gone: it was in an earlier list
-	 * read here, or the list is at least as new as the one known at the job's record.
+	 * Return whether the worker of a task that may run has been removed from the cell. A
+	 * worker missing from the host list counts as removed if an earlier list read by this
+	 * process held it, or, for a task in doubt, if the list is at least as new as the one
+	 * known when the job was recorded. Otherwise the list may be too old to show it.
 	 * @param job the job
 	 * @param task the task
-	 * @return {@code true} if its worker is gone for certain
+	 * @return {@code true} if the worker has certainly been removed
 	 */
 	private boolean isWorkerRemoved(Job job, TaskRecord task) {
 		if (this.rackByWorker.containsKey(task.worker())) {
@@ -288,6 +303,13 @@
 		});
 	}
 
+	/**
+	 * A stop request to retry unless the attempt has ended by then.
+	 *
+	 * @param worker the worker the attempt was placed on
+	 * @param team the team whose quota it uses
+	 * @param notBefore time of the next retry
+	 */
 	private record PendingStop(WorkerId worker, String team, Instant notBefore) {
 
 	}
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/queue/AwaitedDependencies.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/queue/AwaitedDependencies.java
@@ -7,27 +7,28 @@
 import org.monsoonrelay.model.workload.CellText;
 
 /**
- * Names of workloads that other queue owners wait for. A name that no team elsewhere
- * depends on needs no word, however many workloads have finished. Not thread-safe:
- * confined to the control thread.
+ * Selects the satisfied dependencies that other queue owners need to know about. Names
+ * that no team of another owner depends on are left out, so that announcements do not
+ * grow with the number of finished workloads. Not thread-safe: confined to the control
+ * thread.
  */
 public final class AwaitedDependencies {
 
 	private Map<String, Set<String>> dependenciesByTeam = Map.of();
 
 	/**
-	 * Take in a text that has come into force.
-	 * @param text the text
+	 * Apply a new cell configuration.
+	 * @param text the configuration in force
 	 */
 	public void update(CellText text) {
 		this.dependenciesByTeam = text.dependenciesByTeam();
 	}
 
 	/**
-	 * Choose the names that another owner's teams may wait for.
-	 * @param ownTeams the teams whose queues are owned here
-	 * @param satisfied names of own workloads that are finished or up
-	 * @return those of the names that a team elsewhere depends on
+	 * Return the satisfied dependencies that teams of other owners may wait for.
+	 * @param ownTeams the teams whose queues this process owns
+	 * @param satisfied names of own workloads that have finished or are up
+	 * @return the names among them that a team of another owner depends on
 	 */
 	public Set<String> awaitedByOtherOwners(Set<String> ownTeams, Set<String> satisfied) {
 		Set<String> awaited = new HashSet<>();
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/queue/GangReservation.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/queue/GangReservation.java
@@ -12,9 +12,10 @@
 import org.monsoonrelay.model.job.Job;
 
 /**
- * Asks several racks' owners for the room of one gang. Either all attempts start, or all
- * room is given back at once and the gang tries again later, so that two gangs that each
- * hold a part never wait for each other. Not thread-safe: confined to the control thread.
+ * Reserves the capacity for one gang with the owners of several racks. Either all
+ * attempts start, or all reservations are released at once and the gang is retried later.
+ * So two gangs that each hold a part of the capacity never deadlock. Not thread-safe:
+ * confined to the control thread.
  */
 final class GangReservation {
 
@@ -51,6 +52,10 @@
 		}
 	}
 
+	/**
+	 * Decide whether the gang starts now. Without all reservations in time, backs off.
+	 * @return {@code true} if all attempts may start
+	 */
 	private boolean tryStart() {
 		if (this.gang.isGivenUp() || this.gang.startOrGiveUp(this.placer.now())) {
 			return !this.gang.isGivenUp();
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/queue/JobRecordStore.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/queue/JobRecordStore.java
@@ -25,10 +25,11 @@
 import org.monsoonrelay.model.job.JobRecord;
 
 /**
- * Durable progress of jobs, one row a job, written in group commits of which one is in
- * flight at a time. Invariants: a callback runs only after the row that holds its fact is
- * durable; a lost answer is settled by reading back; a row changed by another owner is
- * never overwritten. Not thread-safe: confined to the control thread.
+ * Stores the progress of jobs in the table, one row per job, by group commits of which at
+ * most one is in flight. Invariants: a callback runs only after the row with the state it
+ * was enqueued for is durable; the result of an unanswered commit is found out by reading
+ * back; a row that another owner has changed is never overwritten. Not thread-safe:
+ * confined to the control thread.
  */
 public final class JobRecordStore {
 
@@ -75,9 +76,9 @@
 	}
 
 	/**
-	 * Load a job's progress.
+	 * Load the record of a job.
 	 * @param id the job
-	 * @return the record, {@link JobRecord#NONE} if there is none
+	 * @return the record, or {@link JobRecord#NONE} if there is none
 	 */
 	public CompletableFuture<JobRecord> load(JobId id) {
 		return this.table.read(TableKeys.job(id)).thenApplyAsync((row) -> {
@@ -88,10 +89,10 @@
 	}
 
 	/**
-	 * Have a job's present progress written with the next group commit. A retired job is
-	 * not written any more.
+	 * Enqueue a job, to be written by one of the next group commits. Ignores a retired
+	 * job.
 	 * @param job the job
-	 * @param onDurable runs once it is durable
+	 * @param onDurable called once its present state is durable
 	 */
 	public void enqueue(Job job, Runnable onDurable) {
 		if (job.isRetired()) {
@@ -102,7 +103,8 @@
 	}
 
 	/**
-	 * Write what is marked, unless a group commit is in flight.
+	 * Commit enqueued jobs as far as the write budget allows, unless a commit is in
+	 * flight. If reading back an unanswered commit has failed, retries that instead.
 	 */
 	public void flush() {
 		if (this.pendingReadBack != null) {
@@ -223,7 +225,8 @@
 	}
 
 	/**
-	 * Drop what is known of a job.
+	 * Remove a job's pending write and row version, for instance after the loss of its
+	 * queue.
 	 * @param id the job
 	 */
 	public void forget(JobId id) {
@@ -232,38 +235,44 @@
 	}
 
 	/**
-	 * Note the version of the host list, which each record carries from now on.
-	 * @param version the version
+	 * Set the version of the host list that is written to each record from now on.
+	 * @param version the version of the host list
 	 */
 	public void setHostsVersion(long version) {
 		this.hostsVersion = version;
 	}
 
 	/**
-	 * Tell whether a job has progress that is not durable yet.
+	 * Return whether a job has state that is not durable yet.
 	 * @param id the job
-	 * @return {@code true} if it is marked or in flight
+	 * @return {@code true} if a write of the job is enqueued or in flight
 	 */
 	public boolean isPending(JobId id) {
 		return this.pendingWrites.containsKey(id) || this.inFlightJobs.contains(id);
 	}
 
 	/**
-	 * Tell whether the last commit was answered.
-	 * @return {@code false} while the platform does not answer
+	 * Return whether the table answered the last commit.
+	 * @return {@code false} while the table is unavailable
 	 */
 	public boolean isAvailable() {
 		return this.available;
 	}
 
 	/**
-	 * Number of group commits sent so far.
-	 * @return the count
+	 * Return the number of group commits sent so far.
+	 * @return the number of commits, whether answered or not
 	 */
 	public long commitCount() {
 		return this.commitCount;
 	}
 
+	/**
+	 * A job to write.
+	 *
+	 * @param job the job
+	 * @param callbacks called once the job is durable
+	 */
 	private record PendingWrite(Job job, List<Runnable> callbacks) {
 
 	}
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/queue/JobStatus.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/queue/JobStatus.java
@@ -10,17 +10,17 @@
 import org.monsoonrelay.model.workload.WorkloadKind;
 
 /**
- * What operators read of a job. Immutable.
+ * Status of a job as shown to operators. Immutable.
  *
  * @param id the job
- * @param kind how its tasks belong together
- * @param team its team
+ * @param kind whether the job is a service, a batch or a gang
+ * @param team the team it belongs to
  * @param declared number of declared tasks
  * @param counts number of tasks in each state
- * @param waitReason why tasks wait
- * @param tasks the tasks
- * @param finishedAt when the queue's owner learnt that all tasks had finished,
- * {@code null} before
+ * @param waitReason why tasks of the job wait
+ * @param tasks records of the tasks
+ * @param finishedAt when the queue owner learned that all tasks had finished,
+ * {@code null} until then
  */
 public record JobStatus(JobId id, WorkloadKind kind, String team, int declared, Map<TaskState, Integer> counts,
 		WaitReason waitReason, List<TaskRecord> tasks, Instant finishedAt) {
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/queue/Placer.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/queue/Placer.java
@@ -28,10 +28,10 @@
 import org.monsoonrelay.model.workload.WorkloadKind;
 
 /**
- * Opens attempts, asks racks' owners for room and has reserved attempts started.
- * Invariants: the attempt of a task that must run once is durable before it is started; a
- * gang starts all of its tasks or none. Not thread-safe: confined to the control thread,
- * which is also the executor for all answers.
+ * Opens attempts of waiting tasks, reserves capacity for them with the owners of racks
+ * and requests the start of the reserved attempts. Invariants: an attempt of a run-once
+ * task is durable before its start is requested; a gang starts all of its tasks or none.
+ * Not thread-safe: confined to the control thread, which also handles all replies.
  */
 final class Placer {
 
@@ -69,6 +69,10 @@
 		this.workerListed = workerListed;
 	}
 
+	/**
+	 * Return the present time of the owner's clock.
+	 * @return the time
+	 */
 	Instant now() {
 		return this.clock.instant();
 	}
@@ -79,16 +83,16 @@
 	}
 
 	/**
-	 * Rack that an attempt was placed in.
+	 * Return the rack that an attempt was placed in.
 	 * @param attempt the attempt
-	 * @return the rack, empty if another owner placed it
+	 * @return the name of the rack, empty if another queue owner placed the attempt
 	 */
 	String rackOf(AttemptId attempt) {
 		return this.rackByAttempt.getOrDefault(attempt.job(), Map.of()).getOrDefault(attempt, "");
 	}
 
 	/**
-	 * Stop an attempt where it was placed.
+	 * Send a stop request for an attempt to the owner of its rack.
 	 * @param job the job
 	 * @param attempt the attempt
 	 * @param worker the worker it was placed on
@@ -98,10 +102,10 @@
 	}
 
 	/**
-	 * Place tasks of a job as far as there is room.
+	 * Place tasks of a job as far as the racks have free capacity for them.
 	 * @param job the job
 	 * @param tasks the tasks that may be placed
-	 * @return how many attempts were opened
+	 * @return the number of attempts opened
 	 */
 	int place(Job job, List<Integer> tasks) {
 		if (job.workload().kind() == WorkloadKind.GANG) {
@@ -177,6 +181,13 @@
 				attempts, startAtOnce, now().plus(RESERVATION_TIMEOUT));
 	}
 
+	/**
+	 * Give up attempts whose reservation request was not answered. The request may have
+	 * taken effect, so the rack's owner is asked to stop them.
+	 * @param job the job
+	 * @param rack the rack that was asked
+	 * @param attempts the attempts
+	 */
 	private void stopAll(Job job, String rack, List<AttemptId> attempts) {
 		for (AttemptId attempt : attempts) {
 			this.rackOwners.stop(rack, attempt, new WorkerId(""), job.workload().team());
@@ -210,11 +221,11 @@
 	}
 
 	/**
-	 * Ask one rack's owner for its part of a gang's room.
+	 * Reserve a part of a gang's capacity with the owner of one rack.
 	 * @param job the gang
 	 * @param rack the rack
-	 * @param attempts the attempts to place there
-	 * @param onReply takes the reservations, none if no answer came
+	 * @param attempts the attempts to place in the rack
+	 * @param onReply called with the reservations made, none if the request failed
 	 */
 	void reserveForGang(Job job, String rack, List<AttemptId> attempts, Consumer<List<Reservation>> onReply) {
 		this.rackOwners.reserve(request(job, rack, attempts, false)).whenCompleteAsync((reservations, failure) -> {
@@ -226,11 +237,11 @@
 	}
 
 	/**
-	 * Give back all room that a gang holds or may hold, and let it wait before it tries
-	 * again. The wait grows and is drawn at random, so that gangs which want the same
-	 * room do not meet again.
+	 * Release all reservations that a gang holds or may hold, and delay its next try. The
+	 * backoff is exponential with random jitter, so that gangs that compete for the same
+	 * capacity do not collide again.
 	 * @param job the gang
-	 * @param attemptsByRack its attempts, none of which was started
+	 * @param attemptsByRack its attempts, none of which has been started
 	 */
 	void backOffGang(Job job, Map<String, List<AttemptId>> attemptsByRack) {
 		attemptsByRack.forEach((rack, attempts) -> {
@@ -248,11 +259,14 @@
 	}
 
 	/**
-	 * Have reserved attempts started, those that must run once after their record is
-	 * durable.
+	 * Request the start of reserved attempts. Attempts of a run-once job are started only
+	 * after the job's record is durable, and only if their workers are in the host list.
+	 * Otherwise the removal of the worker could not be detected, and the reservations are
+	 * released.
 	 * @param job the job
 	 * @param reservedByRack the reservations
-	 * @param startCheck asked right before the start
+	 * @param startCheck evaluated right before the start; nothing is started if it
+	 * returns {@code false}
 	 */
 	void startReserved(Job job, Map<String, List<Reservation>> reservedByRack, BooleanSupplier startCheck) {
 		if (job.workload().once() && !reservedByRack.values().stream().flatMap(List::stream).allMatch(this::isListed)) {
@@ -298,28 +312,34 @@
 		this.gangBackoffs.remove(job.id());
 		Workload workload = job.workload();
 		reservedByRack.forEach((rack, reservations) -> {
-			List<StartTask> orders = reservations.stream()
+			List<StartTask> startRequests = reservations.stream()
 				.map(Reservation::attempt)
 				.filter(startable::contains)
 				.filter(job::isStarting)
 				.map((attempt) -> new StartTask(attempt, workload.team(), workload.size(), workload.runMillis()))
 				.toList();
-			if (!orders.isEmpty()) {
-				this.rackOwners.start(rack, orders)
-					.whenCompleteAsync((refused, failure) -> handleStartReply(job, orders, refused, failure),
+			if (!startRequests.isEmpty()) {
+				this.rackOwners.start(rack, startRequests)
+					.whenCompleteAsync((refused, failure) -> handleStartReply(job, startRequests, refused, failure),
 							this.controlExecutor);
 			}
 		});
 	}
 
-	private void handleStartReply(Job job, List<StartTask> orders, List<AttemptId> refused, Throwable failure) {
+	private void handleStartReply(Job job, List<StartTask> startRequests, List<AttemptId> refused, Throwable failure) {
 		if (failure != null) {
-			orders.forEach((order) -> job.lapsed(order.attempt()));
+			startRequests.forEach((request) -> job.lapsed(request.attempt()));
 			return;
 		}
 		refused.forEach(job::gone);
 	}
 
+	/**
+	 * Backoff of a gang that could not reserve capacity for all of its tasks.
+	 *
+	 * @param failures number of failures since the last start
+	 * @param notBefore time of the next try
+	 */
 	private record GangBackoff(int failures, Instant notBefore) {
 
 	}
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/queue/Preemption.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/queue/Preemption.java
@@ -23,10 +23,11 @@
 import org.monsoonrelay.model.workload.WorkloadKind;
 
 /**
- * Stops batch work that may be repeated where urgent work finds no room. The stopped
- * tasks wait to be placed again. Invariants: no task that must run once, no urgent task
- * and no service or gang is stopped; an attempt is asked to stop once, and others are
- * chosen if it has not ended in time. Not thread-safe: confined to the control thread.
+ * Preempts repeatable batch work in favour of urgent work that finds no free capacity.
+ * The stopped tasks go back to waiting and are placed again. Invariants: run-once tasks,
+ * urgent tasks, services and gangs are never preempted; until its stop request has timed
+ * out, a victim is not asked to stop again and no others are chosen in its place. Not
+ * thread-safe: confined to the control thread.
  */
 final class Preemption {
 
@@ -47,8 +48,9 @@
 	}
 
 	/**
-	 * Tell the directory of the room that has come free since the last round, so that
-	 * urgent work finds it before the next summary does.
+	 * Add the capacity freed by preemption since the last round to the rack directory, so
+	 * that urgent work can use it before the next rack summary arrives. Drops preemptions
+	 * whose victims have not ended in time.
 	 */
 	void recordFreedCapacity() {
 		this.pendingPreemptions.removeIf((preemption) -> {
@@ -61,10 +63,10 @@
 	}
 
 	/**
-	 * Have enough batch tasks stopped for urgent tasks to fit.
+	 * Stop enough batch tasks for the waiting tasks of an urgent job to fit.
 	 * @param urgent the urgent job
-	 * @param tasks how many of its tasks found no room
-	 * @param queues the queues whose batch work may be stopped
+	 * @param tasks the number of its tasks that found no free capacity
+	 * @param queues the queues whose batch work may be preempted
 	 */
 	void preemptFor(Job urgent, int tasks, Iterable<TeamQueue> queues) {
 		int pending = (int) this.pendingPreemptions.stream()
@@ -108,6 +110,12 @@
 				&& job.count(TaskState.RUNNING) > 0;
 	}
 
+	/**
+	 * Choose the worker on which the fewest attempts have to stop.
+	 * @param workers the preemptible attempts of each worker
+	 * @param size the capacity to free on one worker
+	 * @return the attempts to stop, or empty if no worker has enough of them
+	 */
 	private static Optional<List<Victim>> fewestVictims(Collection<List<Victim>> workers, Resources size) {
 		return workers.stream()
 			.map((victims) -> selectVictims(victims, size))
@@ -116,6 +124,12 @@
 				.thenComparing((victims) -> victims.get(0).worker()));
 	}
 
+	/**
+	 * Select the attempts to stop on one worker, those of the most recent jobs first.
+	 * @param victims the preemptible attempts of the worker
+	 * @param size the capacity to free
+	 * @return the attempts to stop, empty if stopping all of them is not enough
+	 */
 	private static List<Victim> selectVictims(List<Victim> victims, Resources size) {
 		List<Victim> newestFirst = new ArrayList<>(victims);
 		newestFirst.sort(Comparator.comparing((Victim victim) -> victim.job().readySince())
@@ -150,6 +164,11 @@
 
 	/**
 	 * Attempts on one worker that were asked to stop for one urgent task.
+	 *
+	 * @param victims the attempts, at least one
+	 * @param rack the rack of the worker
+	 * @param urgentJob the job of the urgent task
+	 * @param deadline time after which other victims may be chosen
 	 */
 	private record PendingPreemption(List<Victim> victims, String rack, JobId urgentJob, Instant deadline) {
 
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/queue/QueueManager.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/queue/QueueManager.java
@@ -28,11 +28,11 @@
 import org.monsoonrelay.model.workload.WorkloadKind;
 
 /**
- * Owner of teams' queues: orders their jobs, keeps their quotas, asks racks' owners for
- * room and keeps the jobs' progress durable. Invariants: the attempt of a task that must
- * run once is durable before it is started; a gang starts all of its tasks or none; the
- * end of an attempt is acknowledged only after it is durable. Not thread-safe: confined
- * to the control thread, which is also the executor for all answers.
+ * Manages the team queues that this process owns: orders their jobs, enforces quotas,
+ * places tasks with the owners of racks and stores the progress of jobs. Invariants: an
+ * attempt of a run-once task is durable before it is started; a gang starts all of its
+ * tasks or none; the end of an attempt is acknowledged only after it is durable. Not
+ * thread-safe: confined to the control thread, which also handles all replies.
  */
 public final class QueueManager {
 
@@ -42,7 +42,7 @@
 
 	private final TeamScheduler scheduler;
 
-	private final AttemptReconciler followUp;
+	private final AttemptReconciler reconciler;
 
 	private final JobRecordStore store;
 
@@ -64,19 +64,20 @@
 
 	public QueueManager(RackOwners rackOwners, RackDirectory racks, JobRecordStoreFactory storeFactory,
 			Executor controlExecutor, InstantSource clock) {
-		this.store = storeFactory.create(this::reload);
-		this.followUp = new AttemptReconciler(rackOwners, racks, clock);
-		this.placer = new Placer(rackOwners, racks, this.store, controlExecutor, clock, this.followUp::isListed);
+		this.store = storeFactory.create(this::reloadAfterConflict);
+		this.reconciler = new AttemptReconciler(rackOwners, racks, clock);
+		this.placer = new Placer(rackOwners, racks, this.store, controlExecutor, clock, this.reconciler::isListed);
 		this.scheduler = new TeamScheduler(this.placer, racks, this.store, clock);
 		this.controlExecutor = controlExecutor;
 		this.clock = clock;
 	}
 
 	/**
-	 * Begin to own a team's queue. Its jobs are loaded; nothing is placed until
-	 * {@link #activate(String)}.
+	 * Acquire the ownership of a team's queue and load its jobs. Nothing is placed until
+	 * {@link #activate(String)} is called. Does nothing if the queue is owned under this
+	 * or a later epoch.
 	 * @param team the team
-	 * @param epoch epoch of the ownership
+	 * @param epoch the epoch of the ownership
 	 */
 	public void acquireOwnership(String team, long epoch) {
 		TeamQueue current = this.queues.get(team);
@@ -88,7 +89,8 @@
 	}
 
 	/**
-	 * Place work of a team from now on, because the racks' owners have told what runs.
+	 * Start placing work of a team. Called once the owners of the racks have reported
+	 * which attempts run.
 	 * @param team the team
 	 */
 	public void activate(String team) {
@@ -99,7 +101,7 @@
 	}
 
 	/**
-	 * Cease to own a team's queue.
+	 * Release the ownership of a team's queue and discard its jobs.
 	 * @param team the team
 	 */
 	public void releaseOwnership(String team) {
@@ -117,18 +119,19 @@
 	}
 
 	/**
-	 * Take in a reading of the host list. A reading older than one seen before is left
-	 * out.
-	 * @param list the reading
+	 * Apply a host list. A list older than the latest one is ignored.
+	 * @param list the host list
 	 */
 	public void update(HostList list) {
-		this.followUp.update(list);
-		this.store.setHostsVersion(this.followUp.hostsVersion());
+		this.reconciler.update(list);
+		this.store.setHostsVersion(this.reconciler.hostsVersion());
 	}
 
 	/**
-	 * Take in a new version of what operators have in force.
-	 * @param latest the version
+	 * Apply a new version of the configuration and of the operators' edits: load newly
+	 * declared jobs, cancel those that are no longer declared or permitted, and update
+	 * the others.
+	 * @param latest the version in force
 	 */
 	public void update(InForce latest) {
 		this.inForce = latest;
@@ -154,7 +157,7 @@
 			return;
 		}
 		job.cancel().forEach((attempt) -> stop(job, attempt, workers));
-		this.followUp.handleCancelled(job);
+		this.reconciler.handleCancelled(job);
 		if (!this.inForce.state().cancelled().contains(job.id().toString())) {
 			this.store.enqueue(job, () -> removeIfUndeclared(queue, job));
 		}
@@ -162,7 +165,7 @@
 
 	private void stop(Job job, AttemptId attempt, Map<AttemptId, WorkerId> workers) {
 		this.placer.stop(job, attempt, workers.get(attempt));
-		this.followUp.scheduleStopRetry(attempt, workers.get(attempt), job.workload().team());
+		this.reconciler.scheduleStopRetry(attempt, workers.get(attempt), job.workload().team());
 	}
 
 	private void removeIfUndeclared(TeamQueue queue, Job job) {
@@ -192,6 +195,14 @@
 		queue.recordInitiallyDeclared(this.declaredWorkloads.keySet());
 	}
 
+	/**
+	 * Load a job's record and add the job to its queue. If the table does not answer, a
+	 * repeatable job that was declared after the queue was first loaded is added without
+	 * a record, as it cannot have one yet; all others are loaded again in a later round.
+	 * @param team the team
+	 * @param queue the queue of the team
+	 * @param id the job
+	 */
 	private void load(String team, TeamQueue queue, JobId id) {
 		this.store.load(id).whenCompleteAsync((record, failure) -> {
 			queue.loadingJobs().remove(id);
@@ -215,7 +226,11 @@
 		applyDeclaration(queue, job);
 	}
 
-	private void reload(JobId id) {
+	/**
+	 * Replace a job whose row another owner has changed by one loaded from the table.
+	 * @param id the job
+	 */
+	private void reloadAfterConflict(JobId id) {
 		for (Map.Entry<String, TeamQueue> entry : this.queues.entrySet()) {
 			Job removed = entry.getValue().jobs().remove(id);
 			if (removed != null) {
@@ -227,16 +242,16 @@
 	}
 
 	/**
-	 * Names of workloads that other queue owners say are finished or up.
-	 * @param names the names
+	 * Set the dependencies that other queue owners report as satisfied.
+	 * @param names names of workloads that have finished or are up
 	 */
 	public void setDependenciesSatisfiedElsewhere(Set<String> names) {
 		this.satisfiedElsewhere = Set.copyOf(names);
 	}
 
 	/**
-	 * Names of own workloads that are finished or up.
-	 * @return the names
+	 * Return the dependencies that the jobs of the owned queues satisfy.
+	 * @return names of workloads that have finished or are up
 	 */
 	public Set<String> satisfiedDependencies() {
 		return this.queues.values()
@@ -248,7 +263,8 @@
 	}
 
 	/**
-	 * Place what can be placed and write what has to last.
+	 * Run one round: reconcile attempts if due, place waiting tasks and commit enqueued
+	 * job records.
 	 */
 	public void tick() {
 		Set<String> satisfied = new HashSet<>(this.satisfiedElsewhere);
@@ -266,7 +282,7 @@
 		this.nextReconcile = now.plus(RECONCILE_INTERVAL);
 		this.queues.keySet().forEach(this::loadMissing);
 		List<Job> jobs = this.queues.values().stream().flatMap((queue) -> queue.jobs().values().stream()).toList();
-		this.followUp.reconcile(jobs, (job, attempt) -> {
+		this.reconciler.reconcile(jobs, (job, attempt) -> {
 			if (job.gone(attempt)) {
 				this.store.enqueue(job, () -> {
 				});
@@ -275,17 +291,18 @@
 	}
 
 	/**
-	 * Take in what a rack's owner tells of an attempt.
+	 * Handle an attempt event from a rack owner. An event that cannot be handled yet is
+	 * not acknowledged, so that the rack owner sends it again.
 	 * @param event the event
-	 * @param team the team the attempt counts against
-	 * @param acknowledge called with the event once it needs no repeat
+	 * @param team the team whose quota the attempt uses
+	 * @param acknowledge called with the event once it has been handled durably
 	 */
 	public void handleEvent(AttemptEvent event, String team, Consumer<AttemptEvent> acknowledge) {
 		TeamQueue queue = this.queues.get(team);
 		if (queue == null || queue.loadingJobs().contains(event.attempt().job())) {
 			return;
 		}
-		this.followUp.recordReport(event.attempt(), isTerminal(event.kind()));
+		this.reconciler.recordReport(event.attempt(), isTerminal(event.kind()));
 		Job job = queue.jobs().get(event.attempt().job());
 		if (job == null) {
 			if (isUndeclared(event.attempt().job())) {
@@ -307,7 +324,7 @@
 
 	private void stopUnlessTerminal(AttemptEvent event, String team) {
 		if (!isTerminal(event.kind())) {
-			this.followUp.stop(event.attempt(), event.worker(), team);
+			this.reconciler.stop(event.attempt(), event.worker(), team);
 		}
 	}
 
@@ -315,7 +332,7 @@
 		AttemptId attempt = event.attempt();
 		switch (event.kind()) {
 			case RUNNING -> {
-				this.followUp.handleRunning(job, event);
+				this.reconciler.handleRunning(job, event);
 				acknowledge.run();
 			}
 			case LAPSED -> {
@@ -339,7 +356,7 @@
 	}
 
 	/**
-	 * What operators read of the owned jobs.
+	 * Return the status of the jobs of the owned queues.
 	 * @return the status of each job
 	 */
 	public List<JobStatus> jobStatuses() {
@@ -352,17 +369,17 @@
 	}
 
 	/**
-	 * The teams whose queues are owned.
-	 * @return the names
+	 * Return the teams whose queues this process owns.
+	 * @return the names of the teams
 	 */
 	public Set<String> teams() {
 		return Set.copyOf(this.queues.keySet());
 	}
 
 	/**
-	 * Tell whether a team's queue places work.
+	 * Return whether work of a team's queue is placed.
 	 * @param team the team
-	 * @return {@code false} while it is not owned or not yet active
+	 * @return {@code false} while the queue is not owned or not yet activated
 	 */
 	public boolean isActive(String team) {
 		TeamQueue queue = this.queues.get(team);
@@ -370,14 +387,14 @@
 	}
 
 	/**
-	 * Makes the journal that reports conflicts back.
+	 * Creates the record store of a queue manager.
 	 */
 	public interface JobRecordStoreFactory {
 
 		/**
-		 * Create the journal.
+		 * Create the record store.
 		 * @param onConflict called with a job whose row another owner has changed
-		 * @return the journal
+		 * @return the record store
 		 */
 		JobRecordStore create(Consumer<JobId> onConflict);
 
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/queue/RackDirectory.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/queue/RackDirectory.java
@@ -23,10 +23,11 @@
 import org.monsoonrelay.model.workload.WorkloadKind;
 
 /**
- * What a queue owner knows of the racks, from their owners' summaries. Each choice takes
- * its room off the summary, so that one round does not send everything to one rack; a
- * choice looks at a sample of the racks, and at all of them only if none of the sample
- * has room. Not thread-safe: confined to the control thread.
+ * Directory of the racks as a queue owner knows them from the summaries of their owners,
+ * from which it chooses a rack for each task. Each choice is deducted from the free
+ * capacity of its rack, so that one round does not send all tasks to the same rack. A
+ * choice considers a random sample of the racks, and the others only if none in the
+ * sample fits. Not thread-safe: confined to the control thread.
  */
 public final class RackDirectory {
 
@@ -61,9 +62,10 @@
 	}
 
 	/**
-	 * Take in an owner's summaries, in place of what it sent before.
-	 * @param session the owner's session
-	 * @param summaries all racks it owns
+	 * Replace the summaries of one rack owner. A summary is ignored if another session
+	 * has sent one of a later epoch for the same rack.
+	 * @param session the session of the rack owner
+	 * @param summaries summaries of all racks that it owns
 	 */
 	public void update(String session, Collection<RackSummary> summaries) {
 		Map<String, RackEntry> previous = new HashMap<>(this.entries);
@@ -77,7 +79,7 @@
 	}
 
 	/**
-	 * Drop what a session sent, because it lapsed.
+	 * Remove the racks of a session, because the session has expired.
 	 * @param session the session
 	 */
 	public void removeSession(String session) {
@@ -87,9 +89,9 @@
 	}
 
 	/**
-	 * Take in the platform's list, which tells the size of all workers, also of those
-	 * that are silent.
-	 * @param hosts the hosts
+	 * Apply the host list, which holds the size of all workers, including unresponsive
+	 * ones.
+	 * @param hosts the listed hosts
 	 */
 	public void updateHosts(Collection<Host> hosts) {
 		this.listedWorkerSizes.clear();
@@ -103,10 +105,11 @@
 	}
 
 	/**
-	 * Tell whether any listed worker is large enough, even when it is empty.
-	 * @param size what a task asks for
-	 * @param taskCount how many such tasks need each other
-	 * @return {@code false} only if the list has been read and rules it out
+	 * Return whether tasks can fit while the cell is empty: a listed worker is large
+	 * enough for one task, and the total capacity is enough for all of them.
+	 * @param size the size of each task
+	 * @param taskCount the number of tasks that must run at the same time
+	 * @return {@code false} only if the host list has been read and the tasks cannot fit
 	 */
 	public boolean canEverFit(Resources size, int taskCount) {
 		if (this.listedWorkerSizes.isEmpty()) {
@@ -117,8 +120,9 @@
 	}
 
 	/**
-	 * What the cell has: all listed workers, or all known racks before the list is read.
-	 * @return the sum
+	 * Return the capacity of the cell: that of all listed workers, or of all known racks
+	 * before the host list has been read.
+	 * @return the total capacity
 	 */
 	public Resources capacity() {
 		if (!this.listedWorkerSizes.isEmpty()) {
@@ -129,7 +133,7 @@
 
 	/**
 	 * Begin a round of choices.
-	 * @param rackPolicy weighs the racks in this round
+	 * @param rackPolicy the policy that ranks the racks in this round
 	 */
 	public void beginRound(RackPolicy rackPolicy) {
 		this.policy = rackPolicy;
@@ -140,10 +144,10 @@
 
 	/**
 	 * Choose a rack for one task.
-	 * @param kind how the tasks of its job belong together
-	 * @param size what the task asks for
-	 * @param replicasByRack how many tasks of the job each rack holds already
-	 * @return the rack, or empty if none seems to have room
+	 * @param kind the kind of its job; services are spread over failure domains and racks
+	 * @param size the size of the task
+	 * @param replicasByRack the number of tasks of the job that each rack holds already
+	 * @return the name of the rack, or empty if the task fits in none
 	 */
 	public Optional<String> choose(WorkloadKind kind, Resources size, Map<String, Integer> replicasByRack) {
 		rebuildIndex();
@@ -159,9 +163,9 @@
 	}
 
 	/**
-	 * Undo a choice whose room was not asked for, or was given back.
+	 * Undo a choice whose capacity was not reserved, or has been released.
 	 * @param rack the rack
-	 * @param size what was chosen
+	 * @param size the size of the task
 	 */
 	public void undoChoice(String rack, Resources size) {
 		RackEntry entry = this.entries.get(rack);
@@ -171,11 +175,12 @@
 	}
 
 	/**
-	 * Note that a rack's owner had no worker for a size, so that it is not asked again
-	 * before its summary shows more room. What it had reserved for others may come free
-	 * without a trace in the summary, so it is asked again after a few.
+	 * Record that a rack owner had no worker for a size. The rack is not chosen for that
+	 * size until its summary shows more free capacity, or until a few summaries later:
+	 * expired reservations of other queue owners may have freed capacity that no change
+	 * of the summary shows.
 	 * @param rack the rack
-	 * @param size what the task asked for
+	 * @param size the size of the task
 	 */
 	public void recordRefusal(String rack, Resources size) {
 		RackEntry entry = this.entries.get(rack);
@@ -187,17 +192,17 @@
 	}
 
 	/**
-	 * Note that a rack's owner had room for a size.
-	 * @param size what the task asked for
+	 * Record that a rack owner accepted a size, which lowers the penalty of that size.
+	 * @param size the size of the task
 	 */
 	public void recordAcceptance(Resources size) {
 		this.penaltyExponents.computeIfPresent(size, (key, exponent) -> (exponent > 1) ? exponent / 2 : null);
 	}
 
 	/**
-	 * Note that room has come free on one worker since the last summary.
+	 * Record capacity that was freed on one worker since the last summary.
 	 * @param rack the rack
-	 * @param size the room
+	 * @param size the freed capacity
 	 */
 	public void recordFreed(String rack, Resources size) {
 		RackEntry entry = this.entries.get(rack);
@@ -225,6 +230,15 @@
 		return null;
 	}
 
+	/**
+	 * Choose the best rack of a random sample, or of the remaining racks if none in the
+	 * sample fits. The rack chosen last is kept if it costs less and its size has not
+	 * been refused recently.
+	 * @param racks the racks, reordered to draw the sample
+	 * @param size the size of the task
+	 * @param replicasByRack the number of tasks of the job that each rack holds already
+	 * @return the rack, {@code null} if the task fits in none
+	 */
 	private RackEntry chooseFrom(List<RackEntry> racks, Resources size, Map<String, Integer> replicasByRack) {
 		int sampleSize = Math.min(SAMPLE_SIZE, racks.size());
 		for (int index = 0; sampleSize < racks.size() && index < sampleSize; index++) {
@@ -241,16 +255,27 @@
 	}
 
 	/**
-	 * What a rack costs more that may have no worker for a size. It doubles with each
-	 * refusal, so that no weights lead to one refusal after the other.
-	 * @param size what the task asks for
-	 * @return the cost, 0 if the size was not refused of late
+	 * Return the extra cost of racks in which it is uncertain that a size fits. It
+	 * doubles with each refusal, so that it soon outweighs any policy weights that would
+	 * lead to one refusal after another.
+	 * @param size the size of the task
+	 * @return the extra cost, 0 without recent refusals of that size
 	 */
 	private double refusalPenalty(Resources size) {
 		int exponent = this.penaltyExponents.getOrDefault(size, 0);
 		return (exponent > 0) ? Math.scalb(1.0, exponent) : 0;
 	}
 
+	/**
+	 * Find the rack with the fewest replicas, and among these the one with the lowest
+	 * cost.
+	 * @param racks the racks
+	 * @param from index of the first rack to consider
+	 * @param to index after the last rack to consider
+	 * @param size the size of the task
+	 * @param replicasByRack the number of tasks of the job that each rack holds already
+	 * @return the rack, {@code null} if the task fits in none
+	 */
 	private RackEntry lowestCost(List<RackEntry> racks, int from, int to, Resources size,
 			Map<String, Integer> replicasByRack) {
 		RackEntry best = null;
@@ -291,25 +316,25 @@
 	}
 
 	/**
-	 * The session that owns a rack, as its summaries say.
+	 * Return the session that owns a rack according to its summary.
 	 * @param rack the rack
-	 * @return the session
+	 * @return the session, or empty if the rack is unknown
 	 */
 	public Optional<String> ownerSession(String rack) {
 		return Optional.ofNullable(this.entries.get(rack)).map((entry) -> entry.session());
 	}
 
 	/**
-	 * Tell whether all known racks have heard from their workers.
-	 * @return {@code true} if there is a rack and all are settled
+	 * Return whether all workers of all known racks have reported to the present owners.
+	 * @return {@code true} if at least one rack is known and all of them are settled
 	 */
 	public boolean haveAllWorkersReported() {
 		return !this.entries.isEmpty() && this.entries.values().stream().allMatch((entry) -> entry.summary().settled());
 	}
 
 	/**
-	 * Epochs of the racks' ownerships, as their summaries say.
-	 * @return the epoch of each known rack
+	 * Return the ownership epochs of the racks according to their summaries.
+	 * @return the epoch of each known rack by its name
 	 */
 	public Map<String, Long> epochs() {
 		Map<String, Long> epochs = new TreeMap<>();
@@ -318,15 +343,15 @@
 	}
 
 	/**
-	 * Number of racks known.
-	 * @return the count
+	 * Return the number of known racks.
+	 * @return the number of racks
 	 */
 	public int rackCount() {
 		return this.entries.size();
 	}
 
 	/**
-	 * The generator that choices draw from.
+	 * Return the random number generator of this queue owner.
 	 * @return the generator
 	 */
 	UniformRandomProvider random() {
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/queue/RackEntry.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/queue/RackEntry.java
@@ -8,9 +8,9 @@
 import org.monsoonrelay.model.capacity.Resources;
 
 /**
- * One rack as a queue owner believes it to be: its owner's last summary, less what was
- * chosen since, and the sizes it refused. Not thread-safe: confined to the control
- * thread.
+ * One rack in the rack directory: the last summary from its owner, the free capacity left
+ * after the choices made since, and the sizes refused recently. Not thread-safe: confined
+ * to the control thread.
  */
 final class RackEntry implements RackCandidate {
 
@@ -87,14 +87,18 @@
 	}
 
 	/**
-	 * Take room off for a choice, which asks the rack's owner in this round.
-	 * @param size what was chosen
+	 * Deduct a choice from the free capacity and mark the rack as chosen in this round.
+	 * @param size the size of the task
 	 */
 	void deduct(Resources size) {
 		this.free = this.free.minus(size);
 		this.chosenThisRound = true;
 	}
 
+	/**
+	 * Add capacity back to the free capacity, unless the sum exceeds the rack's capacity.
+	 * @param size the capacity
+	 */
 	void restore(Resources size) {
 		if (capacity().covers(this.free.plus(size))) {
 			this.free = this.free.plus(size);
@@ -102,8 +106,9 @@
 	}
 
 	/**
-	 * Note room that has come free on one worker.
-	 * @param size the room
+	 * Add capacity that was freed on one worker. Clears the refusals, because they may no
+	 * longer hold.
+	 * @param size the freed capacity
 	 */
 	void addFreed(Resources size) {
 		restore(size);
@@ -128,11 +133,11 @@
 	}
 
 	/**
-	 * A size that a rack's owner had no worker for.
+	 * A size that the rack owner had no worker for.
 	 *
 	 * @param size the size
-	 * @param free what the summary said was free
-	 * @param summaries how many summaries have come since
+	 * @param freeAtRefusal the free capacity in the summary at the time of the refusal
+	 * @param summariesSince the number of summaries received since
 	 */
 	private record Refusal(Resources size, Resources freeAtRefusal, int summariesSince) {
 
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/queue/TeamBacklog.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/queue/TeamBacklog.java
@@ -9,8 +9,8 @@
 import org.monsoonrelay.model.workload.QuotaLedger;
 
 /**
- * One team's part in a round: the jobs it has left to place and what it uses. Not
- * thread-safe: confined to the control thread.
+ * The jobs of one team that are left to place in a scheduling round, with the quota
+ * ledger of the team. Not thread-safe: confined to the control thread.
  */
 final class TeamBacklog {
 
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/queue/TeamQueue.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/queue/TeamQueue.java
@@ -13,8 +13,8 @@
 import org.monsoonrelay.model.workload.WorkloadKind;
 
 /**
- * The jobs of one team under one ownership. Places nothing until it is active. Not
- * thread-safe: confined to the control thread.
+ * Queue with the jobs of one team, under one epoch of its ownership. No job is placed
+ * until the queue is activated. Not thread-safe: confined to the control thread.
  */
 final class TeamQueue {
 
@@ -32,6 +32,10 @@
 		this.epoch = epoch;
 	}
 
+	/**
+	 * Return the resources used by the open attempts of all jobs.
+	 * @return the sum
+	 */
 	Resources usedResources() {
 		Resources used = Resources.NONE;
 		for (Job job : this.jobs.values()) {
@@ -41,8 +45,8 @@
 	}
 
 	/**
-	 * The jobs that are not final, in the order in which they are placed: services first,
-	 * then by the time since when they are ready.
+	 * Return the jobs that are not final, in placement order: services first, then by the
+	 * time since which they have been ready.
 	 * @return the jobs
 	 */
 	List<Job> unfinishedJobsInPlacementOrder() {
@@ -68,8 +72,9 @@
 	}
 
 	/**
-	 * Note what is declared when the queue is first loaded.
-	 * @param declared the jobs of all teams
+	 * Record which jobs were declared when the queue was first loaded. Ignored if jobs
+	 * have been recorded already.
+	 * @param declared the declared jobs of all teams
 	 */
 	void recordInitiallyDeclared(Set<JobId> declared) {
 		if (this.initiallyDeclared.isEmpty()) {
@@ -78,10 +83,10 @@
 	}
 
 	/**
-	 * Tell whether a job was declared after the queue was first loaded, so that it can
-	 * have no progress yet.
+	 * Return whether a job was declared after the queue was first loaded, so that it
+	 * cannot have a stored record yet.
 	 * @param id the job
-	 * @return {@code true} if it is new
+	 * @return {@code true} if it was declared later
 	 */
 	boolean isDeclaredAfterLoad(JobId id) {
 		return !this.initiallyDeclared.isEmpty() && !this.initiallyDeclared.contains(id);
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/queue/TeamScheduler.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/queue/TeamScheduler.java
@@ -23,11 +23,11 @@
 import org.monsoonrelay.model.workload.WorkloadKind;
 
 /**
- * Decides which waiting tasks of the owned queues are placed in a round, and why the
- * others wait. Urgent jobs of all teams go first and may have batch work stopped. Then
- * teams take turns, the team with the least use against its weight first. Invariant: a
- * round opens no attempt that takes a team over its quota. Not thread-safe: confined to
- * the control thread.
+ * Schedules the owned queues in rounds: decides which waiting tasks are placed and why
+ * the others wait. Urgent jobs of all teams are placed first and may preempt batch work.
+ * The other jobs are placed by weighted fair share: the team with the smallest usage
+ * relative to its weight is next. Invariant: no attempt is opened that takes its team
+ * over the quota. Not thread-safe: confined to the control thread.
  */
 final class TeamScheduler {
 
@@ -64,10 +64,10 @@
 	}
 
 	/**
-	 * Place what can be placed now.
+	 * Run one scheduling round.
 	 * @param queues the owned queues by team
-	 * @param inForce what operators have in force
-	 * @param satisfied names of workloads that are finished or up
+	 * @param inForce the configuration and the operators' edits in force
+	 * @param satisfied names of workloads that have finished or are up
 	 */
 	void runRound(Map<String, TeamQueue> queues, InForce inForce, Set<String> satisfied) {
 		this.racks.beginRound(new WeightedRackPolicy(inForce.text().policy()));
@@ -91,7 +91,7 @@
 	}
 
 	/**
-	 * One round of placing.
+	 * One scheduling round.
 	 */
 	private final class PlacementRound {
 
@@ -109,6 +109,11 @@
 			this.cellCapacity = TeamScheduler.this.racks.capacity();
 		}
 
+		/**
+		 * Place jobs team by team, the team with the smallest weighted share next.
+		 * @param backlogs the backlogs of the teams
+		 * @param preemptible queues whose batch work urgent jobs may preempt
+		 */
 		void placeByFairShare(List<TeamBacklog> backlogs, Iterable<TeamQueue> preemptible) {
 			PriorityQueue<TeamBacklog> order = new PriorityQueue<>(Comparator
 				.comparingDouble((TeamBacklog backlog) -> backlog.ledger().weightedShare(this.cellCapacity))
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/queue/WaitReason.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/queue/WaitReason.java
@@ -1,38 +1,40 @@
 package org.monsoonrelay.logic.queue;
 
 /**
- * Why a job has tasks that do not run yet.
+ * Reason why tasks of a job wait.
  */
 public enum WaitReason {
 
-	/** Nothing waits. */
+	/** No task waits. */
 	NONE,
 
-	/** The queue's owner is rebuilding its view. */
+	/** The queue owner is recovering the state of the queue. */
 	RECOVERING,
 
-	/** Work it depends on has not finished, or is not up. */
+	/** A workload that it depends on has not finished, or is not up. */
 	DEPENDENCY,
 
-	/** The team's quota is in use. */
+	/** The quota of the team is used up. */
 	QUOTA,
 
-	/** No worker has room. */
+	/** No worker has enough free capacity. */
 	NO_ROOM,
 
 	/**
-	 * Refused: no worker of the cell is large enough even when it is empty, or the cell
-	 * is too small for all tasks at once.
+	 * No worker of the cell is large enough even when it is empty, or the cell is too
+	 * small for all tasks at the same time.
 	 */
 	NEVER_FITS,
 
-	/** The platform does not answer, and a task that must run once is recorded first. */
+	/**
+	 * The table is unavailable, and a run-once task must be recorded before its start.
+	 */
 	PLATFORM_UNAVAILABLE,
 
-	/** A worker that may still run a task has gone silent. */
+	/** A worker that may still run a task is unresponsive. */
 	WORKER_SILENT,
 
-	/** A failed task waits before it is tried again. */
+	/** A failed task waits for its retry. */
 	BACKOFF
 
 }
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/queue/package-info.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/queue/package-info.java
@@ -1,4 +1,4 @@
 /**
- * The queue owner: jobs of a team, their order, quota and durable progress.
+ * The queue owner: scheduling of team queues, quotas and the durable progress of jobs.
  */
 package org.monsoonrelay.logic.queue;
