--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/queue/FakeRackOwners.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/queue/FakeRackOwners.java
@@ -23,8 +23,9 @@
 import org.monsoonrelay.model.worker.WorkerId;
 
 /**
- * Racks' owners in memory with real ledgers. Requests wait in a network that is drained
- * from both ends in turn, so that two queue owners always get in each other's way.
+ * In-memory rack owners with real worker ledgers. Reservation requests are queued and
+ * then delivered from both ends of the queue in turn, so that the requests of two queue
+ * owners always interleave.
  */
 final class FakeRackOwners implements RackOwners {
 
@@ -124,7 +125,7 @@
 
 	@Override
 	public void resolve(String rack, AttemptId attempt, WorkerId worker, String incarnation, String team) {
-		throw new UnsupportedOperationException("no test is in doubt");
+		throw new UnsupportedOperationException("FakeRackOwners has no attempts in doubt");
 	}
 
 }
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/queue/LeavingWorkerTests.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/queue/LeavingWorkerTests.java
@@ -18,7 +18,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * What becomes of work on a worker that leaves.
+ * Tests how work on a leaving worker is replaced, finished or cancelled.
  */
 class LeavingWorkerTests {
 
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/queue/ManualQueueOwner.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/queue/ManualQueueOwner.java
@@ -26,7 +26,7 @@
 import org.monsoonrelay.model.workload.WorkloadKind;
 
 /**
- * One queue owner whose control thread and clock are moved by hand.
+ * Queue owner whose control thread and clock are advanced by the test.
  */
 final class ManualQueueOwner {
 
@@ -54,7 +54,7 @@
 		this.racks = racks;
 		this.directory = new RackDirectory(RandomSource.XO_RO_SHI_RO_128_PP.create(seed));
 		this.journal = new JobRecordStore(this.table, this.control, () -> "write", (id) -> {
-			throw new IllegalStateException("conflict at " + id);
+			throw new IllegalStateException("unexpected write conflict on job " + id);
 		});
 		Placer placer = new Placer(racks, this.directory, this.journal, this.control, () -> this.now, (worker) -> true);
 		this.scheduler = new TeamScheduler(placer, this.directory, this.journal, () -> this.now);
@@ -103,7 +103,8 @@
 	}
 
 	/**
-	 * Let the workers tell what runs, and that stopped attempts have ended.
+	 * Apply the reports of the workers: which attempts run, and that stopped attempts
+	 * have ended.
 	 */
 	void applyWorkerReports() {
 		for (TeamQueue queue : this.queues.values()) {
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/queue/PartitionedDomainTests.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/queue/PartitionedDomainTests.java
@@ -25,7 +25,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * A failure domain that is cut off from the platform and from the others, and heals.
+ * Tests a failure domain that is partitioned from the table and from the other failure
+ * domains until the partition heals.
  */
 class PartitionedDomainTests {
 
@@ -44,23 +45,23 @@
 
 		@Override
 		public CompletableFuture<Optional<Row>> read(String key) {
-			return isPartitioned() ? noAnswer() : PartitionedDomainTests.this.table.read(key);
+			return isPartitioned() ? unreachable() : PartitionedDomainTests.this.table.read(key);
 		}
 
 		@Override
 		public CompletableFuture<List<Row>> scan(String prefix, String after, int limit) {
-			return isPartitioned() ? noAnswer() : PartitionedDomainTests.this.table.scan(prefix, after, limit);
+			return isPartitioned() ? unreachable() : PartitionedDomainTests.this.table.scan(prefix, after, limit);
 		}
 
 		@Override
 		public CompletableFuture<CommitResult> commit(List<ConditionalWrite> writes) {
-			return isPartitioned() ? noAnswer() : PartitionedDomainTests.this.table.commit(writes);
+			return isPartitioned() ? unreachable() : PartitionedDomainTests.this.table.commit(writes);
 		}
 
 	};
 
 	private final WorkerAgents outsideWorkerAgents = (host, command) -> (isPartitioned() && host.name().equals("cut"))
-			? noAnswer() : this.workers.send(host, command);
+			? unreachable() : this.workers.send(host, command);
 
 	private final FakeScheduler insideScheduler = new FakeScheduler("inside", this.insideTable, this.workers,
 			this.time);
@@ -72,8 +73,8 @@
 		return this.partitioned;
 	}
 
-	private static <T> CompletableFuture<T> noAnswer() {
-		return CompletableFuture.failedFuture(new PlatformException("no answer", false, null));
+	private static <T> CompletableFuture<T> unreachable() {
+		return CompletableFuture.failedFuture(new PlatformException("unreachable across the partition", false, null));
 	}
 
 	private void takeOver(FakeScheduler scheduler, long epoch, String... racks) {
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/queue/QueueRecoveryTests.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/queue/QueueRecoveryTests.java
@@ -21,7 +21,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * What a queue's owner does when racks' owners, workers, messages or the store fail.
+ * Tests how a queue owner recovers from failures of rack owners, workers, messages or the
+ * table.
  */
 class QueueRecoveryTests {
 
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/queue/RunOnceTests.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/queue/RunOnceTests.java
@@ -21,7 +21,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Tasks that must run once: runs are counted at the workers.
+ * Tests that a run-once task never runs twice when workers, messages, the table or queue
+ * owners fail. Runs are counted at the workers.
  */
 class RunOnceTests {
 
@@ -203,13 +204,13 @@
 
 		@ParameterizedTest
 		@ValueSource(ints = { 0, 1, 2, 3 })
-		void neverStartATaskTwice(int head) {
+		void neverStartATaskTwice(int interleaving) {
 			FakeScheduler second = newScheduler("second", 1);
 			second.useRacksOf(RunOnceTests.this.scheduler);
 			declare(RunOnceTests.this.scheduler, 4, 1);
 			declare(second, 4, 2);
 			for (int round = 0; round < 40; round++) {
-				boolean firstLeads = ((round >> (head & 1)) & 1) == (head >> 1);
+				boolean firstLeads = ((round >> (interleaving & 1)) & 1) == (interleaving >> 1);
 				(firstLeads ? RunOnceTests.this.scheduler : second).tick();
 				(firstLeads ? second : RunOnceTests.this.scheduler).tick();
 				RunOnceTests.this.time.advance(Duration.ofMillis(500));
