--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/PollOutcome.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/PollOutcome.java
@@ -3,16 +3,17 @@
 import java.util.List;
 
 /**
- * What came of looking at a worker.
+ * Outcome of polling a worker.
  */
 public sealed interface PollOutcome {
 
 	/**
-	 * The worker told what runs and what has ended.
+	 * The worker reported its active runs and unacknowledged terminations. Immutable.
 	 *
-	 * @param clockMillis the worker's clock
-	 * @param runningTasks runs that go on
-	 * @param terminatedTasks ends that are not acknowledged
+	 * @param clockMillis the worker's clock, milliseconds
+	 * @param runningTasks runs that are still active
+	 * @param terminatedTasks terminations that are not yet acknowledged, by ascending
+	 * sequence number
 	 */
 	record Report(long clockMillis, List<RunningTask> runningTasks,
 			List<TerminatedTask> terminatedTasks) implements PollOutcome {
@@ -25,23 +26,23 @@
 	}
 
 	/**
-	 * Another life of the worker answered: the one looked for is over.
+	 * A different incarnation of the worker answered, so the polled one no longer exists.
 	 */
 	record Gone() implements PollOutcome {
 
 	}
 
 	/**
-	 * The worker has taken orders from a later owner.
+	 * The worker rejected the fencing token because it has served a later owner.
 	 */
 	record Fenced() implements PollOutcome {
 
 	}
 
 	/**
-	 * No usable answer came.
+	 * No usable response was received.
 	 *
-	 * @param reason what happened
+	 * @param reason description of the failure
 	 */
 	record NoAnswer(String reason) implements PollOutcome {
 
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/RunRequestOutcome.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/RunRequestOutcome.java
@@ -1,58 +1,58 @@
 package org.monsoonrelay.logic.pool;
 
 /**
- * What came of telling a worker to start or stop a run.
+ * Outcome of a request to start or stop a run. Immutable.
  *
  * @param kind the kind of outcome
- * @param clockMillis the worker's clock, -1 if not told
+ * @param clockMillis the worker's clock in milliseconds, -1 if not reported
  */
 public record RunRequestOutcome(Kind kind, long clockMillis) {
 
-	/** No answer came: it may be carried out, or may yet be. */
+	/** No response was received: the request may have been executed or may still be. */
 	public static final RunRequestOutcome NO_ANSWER = new RunRequestOutcome(Kind.NO_ANSWER, -1);
 
-	/** No byte of it left this host: it is not carried out. */
+	/** No byte of the request left this host, so it was not executed. */
 	public static final RunRequestOutcome UNSENT = new RunRequestOutcome(Kind.UNSENT, -1);
 
-	/** Kinds of outcomes. */
+	/** The kinds of outcome. */
 	public enum Kind {
 
-		/** Carried out, now or before. */
+		/** The request was executed, now or earlier. */
 		DONE,
 
-		/** The worker has taken orders from a later owner. */
+		/** The worker rejected the fencing token because it has served a later owner. */
 		FENCED,
 
-		/** The attempt is not higher than one that ended there. */
+		/** The attempt number is not higher than that of a run that terminated there. */
 		OLD_ATTEMPT,
 
-		/** The lease that came with the order has passed. */
+		/** The lease in the request has expired. */
 		TOO_LATE,
 
-		/** There is no room. */
+		/** The worker lacks free capacity. */
 		NO_ROOM,
 
-		/** The ticket is missing, lapsed or not for this worker. */
+		/** The eligibility ticket is missing, expired or not valid for this worker. */
 		TICKET_REFUSED,
 
-		/** The worker does not understand the order. */
+		/** The worker cannot parse the request. */
 		MALFORMED,
 
-		/** The worker is not healthy and has done nothing. */
+		/** The worker is unhealthy and did not execute the request. */
 		UNHEALTHY,
 
-		/** That life of the worker is over. */
+		/** The addressed incarnation of the worker no longer exists. */
 		GONE,
 
-		/** The worker could not be connected to. */
+		/** No connection to the worker could be established. */
 		UNSENT,
 
-		/** No answer came. */
+		/** No response was received. */
 		NO_ANSWER;
 
 		/**
-		 * Whether the worker has said something.
-		 * @return {@code true} if it can be reached
+		 * Returns whether the worker responded.
+		 * @return {@code true} if the outcome stems from a response of the worker
 		 */
 		public boolean isResponse() {
 			return this != UNSENT && this != NO_ANSWER;
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/TerminationReason.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/TerminationReason.java
@@ -1,26 +1,26 @@
 package org.monsoonrelay.logic.pool;
 
 /**
- * How a run ended.
+ * Why a run terminated.
  */
 public enum TerminationReason {
 
-	/** The task has done its work. */
+	/** The task completed successfully. */
 	DONE,
 
-	/** The task failed, by its own fault or the worker's. */
+	/** The task failed, either by its own error or by an error of the worker. */
 	FAILED,
 
-	/** It was told to stop. */
+	/** The owner requested the stop. */
 	STOPPED,
 
-	/** The worker's lease lapsed. */
+	/** The worker's lease expired. */
 	LAPSED,
 
-	/** Another member of its gang ended. */
+	/** Another member of its gang terminated. */
 	BROKEN,
 
-	/** The other members of its gang did not come in time. */
+	/** The other members of its gang did not start in time. */
 	ALONE
 
 }
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/WorkerClient.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/WorkerClient.java
@@ -5,35 +5,35 @@
 import org.monsoonrelay.model.submission.TaskKey;
 
 /**
- * Orders to workers. Futures never fail: a call without a usable answer says so in its
- * outcome. Implementations are thread-safe.
+ * Sends requests to workers. The returned futures never complete exceptionally: an
+ * outcome also reports a missing or unusable response. Implementations are thread-safe.
  */
 public interface WorkerClient {
 
 	/**
-	 * Look at a worker.
+	 * Polls a worker for its active runs and terminations.
 	 * @param worker the worker
-	 * @param order what to tell it
-	 * @return what it told
+	 * @param request the poll request
+	 * @return the outcome of the poll
 	 */
-	CompletableFuture<PollOutcome> poll(WorkerInfo worker, PollRequest order);
+	CompletableFuture<PollOutcome> poll(WorkerInfo worker, PollRequest request);
 
 	/**
-	 * Start a run. Repeating an order is harmless.
+	 * Starts a run. The request is idempotent.
 	 * @param worker the worker
-	 * @param order what to start
-	 * @return what came of it
+	 * @param request the run to start
+	 * @return the outcome of the request
 	 */
-	CompletableFuture<RunRequestOutcome> start(WorkerInfo worker, RunStartRequest order);
+	CompletableFuture<RunRequestOutcome> start(WorkerInfo worker, RunStartRequest request);
 
 	/**
-	 * Stop a run, or keep it from starting if it is not there yet.
+	 * Stops a run, or prevents its start if the worker has not started it yet.
 	 * @param worker the worker
 	 * @param task the task
-	 * @param attempt the attempt
-	 * @param fence the owner's fencing token
-	 * @return what came of it
+	 * @param attempt the attempt number
+	 * @param fencingToken the owner's fencing token
+	 * @return the outcome of the request
 	 */
-	CompletableFuture<RunRequestOutcome> stop(WorkerInfo worker, TaskKey task, int attempt, long fence);
+	CompletableFuture<RunRequestOutcome> stop(WorkerInfo worker, TaskKey task, int attempt, long fencingToken);
 
 }
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/WorkerInfo.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/WorkerInfo.java
@@ -5,32 +5,33 @@
 import org.monsoonrelay.model.capacity.Resources;
 
 /**
- * A worker as the host list describes it. One life of the worker has one id. Immutable.
+ * Description of a worker from the host list. Each incarnation of a worker has its own
+ * id. Immutable.
  *
- * @param id the id of this life
- * @param service the service that it belongs to
- * @param address where it takes orders, {@code host:port}
- * @param failureDomain where it stands
- * @param capacity what it offers; processors in thousandths
- * @param labels its labels
- * @param rack the rack that it stands in
- * @param draining whether it takes no new work, as it is about to leave or what is said
- * of it cannot be read
- * @param remainingMillis least time until it leaves, milliseconds, if it drains
+ * @param id the id of the incarnation
+ * @param service the service that the worker belongs to
+ * @param address address for requests, {@code host:port}
+ * @param failureDomain the failure domain of the worker
+ * @param capacity total capacity; processors in thousandths
+ * @param labels the labels of the worker
+ * @param rack the rack of the worker
+ * @param draining whether the worker accepts no new work, because it is about to leave or
+ * its list entry cannot be parsed
+ * @param remainingMillis minimum time until a draining worker leaves, milliseconds
  */
 public record WorkerInfo(String id, String service, String address, String failureDomain, Resources capacity,
 		List<String> labels, String rack, boolean draining, long remainingMillis) {
 
 	public WorkerInfo {
-		// One string for each id: an owner looks ids up for each waiting task of each
-		// worker, and finding the same string is much cheaper than an equal one.
+		// Interned because ids are looked up for each pair of waiting task and worker:
+		// comparing identical strings is much cheaper than comparing equal ones.
 		id = id.intern();
 		labels = List.copyOf(labels);
 	}
 
 	/**
-	 * The same worker, taking no new work.
-	 * @return the worker as if it were about to leave
+	 * Returns a copy of this description that is marked as draining.
+	 * @return the draining worker
 	 */
 	public WorkerInfo asDraining() {
 		return new WorkerInfo(this.id, this.service, this.address, this.failureDomain, this.capacity, this.labels,
