--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/FailureStreak.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/FailureStreak.java
@@ -5,16 +5,17 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Whether runs of different jobs fail on a worker one after the other. Such a worker gets
- * no work for a while, then one trial decides. Guards jobs with few attempts against a
- * worker that fails all that it starts. Not thread-safe: confined to the control thread.
+ * Counts consecutive failures of runs on one worker. After too many failures across
+ * different jobs, the worker is avoided for a while; the next run then decides whether it
+ * is avoided again. This protects jobs with few attempts from a worker on which all runs
+ * fail. Not thread-safe: confined to the control thread.
  */
 final class FailureStreak {
 
 	/**
-	 * Failed runs in a row, of at least two jobs, after which a worker is avoided. At one
-	 * failed run in fifty by the tasks' own fault, three in a row are an accident once in
-	 * 125,000 runs.
+	 * Consecutive failures, of at least two jobs, after which a worker is avoided. If one
+	 * run in fifty fails by the task's own error, three consecutive failures on a healthy
+	 * worker occur once in 125,000 runs.
 	 */
 	static final int MAX_CONSECUTIVE_FAILURES = 3;
 
@@ -32,10 +33,10 @@
 	private boolean avoided;
 
 	/**
-	 * Count a failed run.
-	 * @param job the run's job
-	 * @param nowNanos the current time
-	 * @return {@code true} if the worker is avoided from now on
+	 * Records a failed run.
+	 * @param job the id of the run's job
+	 * @param nowNanos the current monotonic time
+	 * @return {@code true} if the failure causes the worker to be avoided
 	 */
 	boolean recordFailure(String job, long nowNanos) {
 		this.consecutiveFailures++;
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/PoolLoadReporter.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/PoolLoadReporter.java
@@ -70,8 +70,8 @@
 			if (worker.isAcceptingWork(nowNanos)) {
 				workers++;
 				capacity += worker.info().capacity().processors();
-				committed += worker.committed().processors() - worker.reserved().processors();
-				held += worker.reserved().processors();
+				committed += worker.committed().processors() - worker.held().processors();
+				held += worker.held().processors();
 			}
 		}
 		int steps = 0;
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/PoolOwner.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/PoolOwner.java
@@ -258,9 +258,9 @@
 
 	private void checkWorkersAccounted() {
 		if (ageMillis() > OwnerLease.MAX_ORDER_VALIDITY_MILLIS / WorkerLease.MIN_CLOCK_RATE) {
-			this.pool.abandonReconciliation();
+			this.pool.abandonRecovery();
 		}
-		if (!this.workersAccounted && this.pool.isFullyReconciled()) {
+		if (!this.workersAccounted && this.pool.isRecoveryComplete()) {
 			this.workersAccounted = true;
 			this.placer.markRecovered();
 			this.dependencies.log()
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/PoolWorker.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/PoolWorker.java
@@ -14,8 +14,9 @@
 import org.monsoonrelay.model.submission.TaskKey;
 
 /**
- * One life of a worker with the ledger of what may run there. Invariant: room is given
- * out only while everything that may run there, is being stopped or is held fits the
+ * One incarnation of a worker, with the runs that may be active there and the capacity
+ * that they occupy. Invariant: capacity is committed only while all runs that may be
+ * active or are being stopped, together with all held capacity, fit the worker's
  * capacity. Not thread-safe: confined to the control thread.
  */
 final class PoolWorker {
@@ -26,7 +27,7 @@
 
 	private final RunSet runs = new RunSet();
 
-	private final Map<StepKey, StepReservation> reservations = new HashMap<>();
+	private final Map<StepKey, Hold> holds = new HashMap<>();
 
 	private WorkerInfo info;
 
@@ -69,19 +70,19 @@
 	}
 
 	/**
-	 * Create a worker.
-	 * @param info what the list says of it
-	 * @param changes numbers the changes of all workers of a pool
+	 * Creates a worker.
+	 * @param info the description of the worker from the host list
+	 * @param nextCapacityVersion supplies the next capacity version of the pool
 	 */
-	PoolWorker(WorkerInfo info, LongSupplier changes) {
+	PoolWorker(WorkerInfo info, LongSupplier nextCapacityVersion) {
 		this.info = info;
-		this.nextCapacityVersion = changes;
+		this.nextCapacityVersion = nextCapacityVersion;
 		setCommitted(Resources.NONE);
 		advanceCapacityVersion();
 	}
 
-	// What is left is asked for far more often than it changes: for each waiting task of
-	// each worker.
+	// The free capacity is precomputed: it is read for each pair of waiting task and
+	// worker, far more often than it changes.
 	private void setCommitted(Resources next) {
 		this.committed = next;
 		this.free = this.info.capacity().covers(next) ? this.info.capacity().minus(next) : Resources.NONE;
@@ -92,8 +93,8 @@
 	}
 
 	/**
-	 * Note that an order was sent.
-	 * @param nowNanos the current time
+	 * Records that a request was sent to the worker.
+	 * @param nowNanos the current monotonic time
 	 */
 	void requestSent(long nowNanos) {
 		if (!this.awaitingResponse) {
@@ -103,8 +104,8 @@
 	}
 
 	/**
-	 * Note any answer of the worker.
-	 * @param nowNanos the current time
+	 * Records a response of the worker to any request.
+	 * @param nowNanos the current monotonic time
 	 */
 	void responseReceived(long nowNanos) {
 		this.awaitingResponse = false;
@@ -114,9 +115,10 @@
 	}
 
 	/**
-	 * How long the worker has left orders unanswered and not been heard of.
-	 * @param nowNanos the current time
-	 * @return nanoseconds, 0 if no order waits
+	 * Returns for how long a request has been unanswered without any response from the
+	 * worker.
+	 * @param nowNanos the current monotonic time
+	 * @return nanoseconds, 0 if no request is unanswered
 	 */
 	long unansweredNanos(long nowNanos) {
 		return this.awaitingResponse ? nowNanos - this.requestSentNanos : 0;
@@ -127,14 +129,15 @@
 	}
 
 	/**
-	 * Take no new work while in doubt whether the worker can be reached.
-	 * @param isDoubted whether that is so
+	 * Sets whether the worker is suspected to be unresponsive. A suspected worker accepts
+	 * no new work.
+	 * @param isSuspected whether the worker is suspected
 	 */
-	void setSuspected(boolean isDoubted) {
-		if (this.suspected && !isDoubted) {
+	void setSuspected(boolean isSuspected) {
+		if (this.suspected && !isSuspected) {
 			advanceCapacityVersion();
 		}
-		this.suspected = isDoubted;
+		this.suspected = isSuspected;
 	}
 
 	boolean isSuspected() {
@@ -142,46 +145,47 @@
 	}
 
 	/**
-	 * Number of the last change that may have made room here for what found none before.
-	 * @return the number
+	 * Returns the pool's capacity version of the last change by which this worker may
+	 * accept a task that it could not accept before.
+	 * @return the version
 	 */
 	long capacityVersion() {
 		return this.capacityVersion;
 	}
 
 	/**
-	 * Tell whether new work of a size may be placed here.
-	 * @param size what a task holds
-	 * @param nowNanos the current time
-	 * @return {@code true} if there is room and the worker takes new work
+	 * Returns whether a task of a given size can be placed on this worker.
+	 * @param size the capacity that the task occupies
+	 * @param nowNanos the current monotonic time
+	 * @return {@code true} if the worker accepts work and has enough free capacity
 	 */
 	boolean canAccept(Resources size, long nowNanos) {
 		return isAcceptingWork(nowNanos) && free().covers(size);
 	}
 
 	/**
-	 * Whether the worker takes new work at all: it answers and leaves no order
-	 * unanswered, the list names it, it is not leaving, the owner's row names it, and
-	 * runs do not all fail here.
-	 * @param nowNanos the current time
-	 * @return {@code true} if so
+	 * Returns whether the worker accepts new work: it is usable, not suspected, recorded
+	 * in the owner record and not avoided because of consecutive failures.
+	 * @param nowNanos the current monotonic time
+	 * @return {@code true} if the worker accepts new work
 	 */
 	boolean isAcceptingWork(long nowNanos) {
 		return isUsable() && !this.suspected && this.recorded && !this.failures.isAvoided(nowNanos);
 	}
 
 	/**
-	 * Whether the worker can take new work, now or after a pause: it answers, the list
-	 * names it and it is not leaving.
-	 * @return {@code true} if so
+	 * Returns whether the worker can accept new work, now or after a pause: it is
+	 * reachable, listed and not draining.
+	 * @return {@code true} if the worker is usable
 	 */
 	boolean isUsable() {
 		return this.reachable && this.listed && !this.lost && !this.info.draining();
 	}
 
 	/**
-	 * Room that is not free: of what may run here, is being stopped or is held.
-	 * @return the room
+	 * Returns the capacity that is not free: that of runs that may be active or are being
+	 * stopped, and held capacity.
+	 * @return the committed capacity
 	 */
 	Resources committed() {
 		return this.committed;
@@ -207,51 +211,52 @@
 	}
 
 	/**
-	 * Hold room for a step until its ticket is renewed.
+	 * Holds capacity for a step until its eligibility ticket is renewed. An earlier hold
+	 * of the step is replaced.
 	 * @param step the step
-	 * @param size the room
-	 * @param untilNanos when the hold lapses
+	 * @param size the capacity to hold
+	 * @param untilNanos monotonic time at which the hold expires
 	 */
-	void reserve(StepKey step, Resources size, long untilNanos) {
-		cancelReservation(step);
-		this.reservations.put(step, new StepReservation(size, untilNanos));
+	void hold(StepKey step, Resources size, long untilNanos) {
+		releaseHold(step);
+		this.holds.put(step, new Hold(size, untilNanos));
 		setCommitted(this.committed.plus(size));
 	}
 
 	/**
-	 * Room that is kept for steps.
-	 * @return the room
+	 * Returns the capacity that is held for steps.
+	 * @return the held capacity
 	 */
-	Resources reserved() {
+	Resources held() {
 		Resources held = Resources.NONE;
-		for (StepReservation hold : this.reservations.values()) {
+		for (Hold hold : this.holds.values()) {
 			held = held.plus(hold.size());
 		}
 		return held;
 	}
 
-	void cancelReservation(StepKey step) {
-		if (this.reservations.isEmpty()) {
+	void releaseHold(StepKey step) {
+		if (this.holds.isEmpty()) {
 			return;
 		}
-		StepReservation hold = this.reservations.remove(step);
+		Hold hold = this.holds.remove(step);
 		if (hold != null) {
 			setCommitted(this.committed.minus(hold.size()));
 			advanceCapacityVersion();
 		}
 	}
 
-	void expireReservations(long nowNanos) {
-		if (this.reservations.isEmpty()) {
+	void expireHolds(long nowNanos) {
+		if (this.holds.isEmpty()) {
 			return;
 		}
-		List<StepKey> lapsed = new ArrayList<>();
-		this.reservations.forEach((step, hold) -> {
+		List<StepKey> expired = new ArrayList<>();
+		this.holds.forEach((step, hold) -> {
 			if (nowNanos - hold.untilNanos() > 0) {
-				lapsed.add(step);
+				expired.add(step);
 			}
 		});
-		lapsed.forEach(this::cancelReservation);
+		expired.forEach(this::releaseHold);
 	}
 
 	Optional<Run> run(TaskKey task) {
@@ -263,9 +268,9 @@
 	}
 
 	/**
-	 * How long until what runs here has ended by what is declared of it.
-	 * @param nowNanos the current time
-	 * @return milliseconds, 0 if nothing runs
+	 * Returns the estimated time until all runs of this worker have terminated.
+	 * @param nowNanos the current monotonic time
+	 * @return milliseconds, 0 if there are no runs
 	 */
 	long millisUntilIdle(long nowNanos) {
 		return this.runs.millisUntilIdle(nowNanos);
@@ -280,7 +285,7 @@
 	}
 
 	/**
-	 * Note that nothing runs here any more.
+	 * Records that no run can be active on this worker any more.
 	 */
 	void markLost() {
 		this.lost = true;
@@ -322,27 +327,27 @@
 		this.recorded = false;
 	}
 
-	void markDurable(long number) {
-		this.durableSequence = Math.max(this.durableSequence, number);
+	void markDurable(long sequence) {
+		this.durableSequence = Math.max(this.durableSequence, sequence);
 	}
 
-	boolean hasProcessed(TerminatedTask end) {
-		return end.sequence() <= this.processedSequence || this.processedAhead.contains(end.sequence());
+	boolean hasProcessed(TerminatedTask termination) {
+		return termination.sequence() <= this.processedSequence || this.processedAhead.contains(termination.sequence());
 	}
 
-	void markProcessed(TerminatedTask end) {
-		this.processedAhead.add(end.sequence());
+	void markProcessed(TerminatedTask termination) {
+		this.processedAhead.add(termination.sequence());
 	}
 
 	/**
-	 * Keep ends that are listed and not taken in. All that were taken before the first of
-	 * them count as processed.
-	 * @param ends the ends in the order of their numbers
+	 * Defers terminations that were reported but cannot be processed yet. Only
+	 * terminations before the first deferred one count as processed without gaps.
+	 * @param terminations the deferred terminations by ascending sequence number
 	 */
-	void deferTerminations(List<TerminatedTask> ends) {
-		this.deferredTerminations = List.copyOf(ends);
-		long firstKept = ends.isEmpty() ? Long.MAX_VALUE : ends.get(0).sequence();
-		while (!this.processedAhead.isEmpty() && this.processedAhead.first() < firstKept) {
+	void deferTerminations(List<TerminatedTask> terminations) {
+		this.deferredTerminations = List.copyOf(terminations);
+		long firstDeferred = terminations.isEmpty() ? Long.MAX_VALUE : terminations.get(0).sequence();
+		while (!this.processedAhead.isEmpty() && this.processedAhead.first() < firstDeferred) {
 			this.processedSequence = this.processedAhead.pollFirst();
 		}
 	}
@@ -387,7 +392,7 @@
 		return this.durableSequence;
 	}
 
-	private record StepReservation(Resources size, long untilNanos) {
+	private record Hold(Resources size, long untilNanos) {
 
 	}
 
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/Run.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/Run.java
@@ -6,8 +6,8 @@
 import org.monsoonrelay.model.submission.TaskKey;
 
 /**
- * A run that may be alive on a worker and therefore holds room there. Not thread-safe:
- * confined to the control thread.
+ * A run that may be active on a worker and therefore occupies capacity there. Not
+ * thread-safe: confined to the control thread.
  */
 final class Run {
 
@@ -33,11 +33,11 @@
 
 	private long estimatedEndNanos;
 
-	private Run(TaskKey task, int attempt, String worker, Resources size, State state, long orderedNanos,
+	private Run(TaskKey task, int attempt, String workerId, Resources size, State state, long orderedNanos,
 			boolean adopted) {
 		this.task = task;
 		this.attempt = attempt;
-		this.workerId = worker;
+		this.workerId = workerId;
 		this.size = size;
 		this.state = state;
 		this.requestedNanos = orderedNanos;
@@ -46,51 +46,51 @@
 	}
 
 	/**
-	 * A run whose start is about to be sent.
+	 * Creates a run whose start request is about to be sent.
 	 * @param task the task
-	 * @param attempt the attempt
-	 * @param worker the worker
-	 * @param size what it holds
-	 * @param nowNanos the current time
+	 * @param attempt the attempt number
+	 * @param workerId the id of the worker
+	 * @param size the capacity that the run occupies
+	 * @param nowNanos the current monotonic time
 	 * @return the run
 	 */
-	static Run starting(TaskKey task, int attempt, String worker, Resources size, long nowNanos) {
-		return new Run(task, attempt, worker, size, State.STARTING, nowNanos, false);
+	static Run starting(TaskKey task, int attempt, String workerId, Resources size, long nowNanos) {
+		return new Run(task, attempt, workerId, size, State.STARTING, nowNanos, false);
 	}
 
 	/**
-	 * A run that an earlier owner started.
-	 * @param seen the worker's word
-	 * @param worker the worker
-	 * @param size what it holds
-	 * @param nowNanos the current time
+	 * Creates a run that an earlier owner started.
+	 * @param reported the run as reported by the worker
+	 * @param workerId the id of the worker
+	 * @param size the capacity that the run occupies
+	 * @param nowNanos the current monotonic time
 	 * @return the run
 	 */
-	static Run adopted(RunningTask seen, String worker, Resources size, long nowNanos) {
-		Run run = new Run(seen.task(), seen.attempt(), worker, size, State.RUNNING, nowNanos, true);
+	static Run adopted(RunningTask reported, String workerId, Resources size, long nowNanos) {
+		Run run = new Run(reported.task(), reported.attempt(), workerId, size, State.RUNNING, nowNanos, true);
 		run.confirm(nowNanos);
 		return run;
 	}
 
 	/**
-	 * Note how long the run is declared to take.
-	 * @param millis milliseconds from its order on
+	 * Sets the estimated duration of the run.
+	 * @param millis milliseconds from the start request on
 	 */
 	void setEstimateMillis(long millis) {
 		this.estimatedEndNanos = this.requestedNanos + TimeUnit.MILLISECONDS.toNanos(millis);
 	}
 
 	/**
-	 * When the run has ended by what is declared of it.
-	 * @return the time on the monotonic clock, that of its order if nothing is declared
+	 * Returns the estimated end of the run.
+	 * @return the monotonic time, that of the start request if no estimate is set
 	 */
 	long estimatedEndNanos() {
 		return this.estimatedEndNanos;
 	}
 
 	/**
-	 * Note that the worker has confirmed the last order for this run.
-	 * @param nowNanos the current time
+	 * Records that the worker confirmed the last request for this run.
+	 * @param nowNanos the current monotonic time
 	 */
 	void confirm(long nowNanos) {
 		this.confirmed = true;
@@ -101,7 +101,7 @@
 	}
 
 	/**
-	 * Note that the run is to stop.
+	 * Records that a stop of the run is requested.
 	 */
 	void markStopping() {
 		this.state = State.STOPPING;
@@ -109,17 +109,17 @@
 	}
 
 	/**
-	 * Whether a look that was sent at a time has to show this run or its end.
-	 * @param lookSentNanos when the look was sent
-	 * @return {@code true} if the run is over when the look shows neither
+	 * Returns whether the response to a poll must contain this run or its termination.
+	 * @param pollSentNanos monotonic time at which the poll was sent
+	 * @return {@code true} if a response without either means that the run is lost
 	 */
-	boolean mustAppearInPoll(long lookSentNanos) {
-		return this.confirmed && this.confirmedNanos - lookSentNanos < 0;
+	boolean mustAppearInPoll(long pollSentNanos) {
+		return this.confirmed && this.confirmedNanos - pollSentNanos < 0;
 	}
 
-	void updateCheckpoint(String progress) {
-		if (!progress.isEmpty()) {
-			this.checkpoint = progress;
+	void updateCheckpoint(String latest) {
+		if (!latest.isEmpty()) {
+			this.checkpoint = latest;
 		}
 	}
 
@@ -148,8 +148,8 @@
 	}
 
 	/**
-	 * Whether another owner has started it.
-	 * @return {@code true} if it is not known here since when it runs
+	 * Returns whether an earlier owner started the run.
+	 * @return {@code true} if the start time of the run is unknown
 	 */
 	boolean isAdopted() {
 		return this.adopted;
@@ -159,16 +159,16 @@
 		return this.checkpoint;
 	}
 
-	/** Where a run stands. */
+	/** The state of a run. */
 	enum State {
 
-		/** The start was sent and not confirmed. */
+		/** The start request was sent but is not confirmed. */
 		STARTING,
 
-		/** The worker has confirmed it. */
+		/** The worker confirmed the start. */
 		RUNNING,
 
-		/** A stop was sent. */
+		/** A stop was requested. */
 		STOPPING
 
 	}
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/RunAdoption.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/RunAdoption.java
@@ -11,11 +11,11 @@
 import org.monsoonrelay.model.submission.TaskKey;
 
 /**
- * Compares the runs that a worker tells of with those that the owner knows, and takes
- * over those that an earlier owner started. Invariants: a run that is neither listed as
- * running nor among the ends is over; a run whose job is not known yet holds all of the
- * worker's room and is neither stopped nor given up until the job is known or can be
- * taken not to exist. Not thread-safe: confined to the control thread.
+ * Reconciles the runs that a worker reports with the runs known to the owner, and adopts
+ * those that an earlier owner started. Invariants: a run that is reported neither as
+ * active nor as terminated is lost; a run whose job is not loaded yet occupies the whole
+ * capacity of the worker and is neither stopped nor dropped until the job is loaded or is
+ * known not to exist. Not thread-safe: confined to the control thread.
  */
 final class RunAdoption {
 
@@ -33,38 +33,38 @@
 
 	private final BiConsumer<Run, String> stopRun;
 
-	RunAdoption(JobRegistry jobs, RunTerminationHandler ends, UnknownJobs unknown, PoolClock clock,
-			Consumer<Run> confirm, BiConsumer<Run, String> stop) {
+	RunAdoption(JobRegistry jobs, RunTerminationHandler terminations, UnknownJobs unknownJobs, PoolClock clock,
+			Consumer<Run> confirmRun, BiConsumer<Run, String> stopRun) {
 		this.jobs = jobs;
-		this.terminations = ends;
-		this.unknownJobs = unknown;
+		this.terminations = terminations;
+		this.unknownJobs = unknownJobs;
 		this.clock = clock;
-		this.confirmRun = confirm;
-		this.stopRun = stop;
+		this.confirmRun = confirmRun;
+		this.stopRun = stopRun;
 	}
 
 	/**
-	 * Take in which runs a worker lists.
+	 * Reconciles the known runs of a worker with the active runs that it reports.
 	 * @param worker the worker
-	 * @param running the runs that go on
-	 * @param sentNanos when the worker was asked
+	 * @param running the reported active runs
+	 * @param sentNanos monotonic time at which the poll was sent
 	 */
 	void reconcile(PoolWorker worker, List<RunningTask> running, long sentNanos) {
-		Set<TaskKey> listed = new HashSet<>();
-		worker.deferredTerminations().forEach((end) -> listed.add(end.task()));
-		for (RunningTask seen : running) {
-			listed.add(seen.task());
-			Optional<Run> known = worker.run(seen.task());
+		Set<TaskKey> reportedTasks = new HashSet<>();
+		worker.deferredTerminations().forEach((termination) -> reportedTasks.add(termination.task()));
+		for (RunningTask reported : running) {
+			reportedTasks.add(reported.task());
+			Optional<Run> known = worker.run(reported.task());
 			if (known.isEmpty()) {
-				adopt(worker, seen);
+				adopt(worker, reported);
 			}
-			else if (known.get().attempt() == seen.attempt()) {
-				known.get().updateCheckpoint(seen.checkpoint());
+			else if (known.get().attempt() == reported.attempt()) {
+				known.get().updateCheckpoint(reported.checkpoint());
 				reconcileKnownRun(known.get());
 			}
 		}
 		for (Run run : worker.runs()) {
-			if (!listed.contains(run.task()) && run.mustAppearInPoll(sentNanos)) {
+			if (!reportedTasks.contains(run.task()) && run.mustAppearInPoll(sentNanos)) {
 				this.terminations.handleLostRun(worker, run, "neither running nor ended on its worker");
 			}
 		}
@@ -72,26 +72,27 @@
 
 	private void reconcileKnownRun(Run run) {
 		this.confirmRun.accept(run);
-		boolean isForeign = run.state() == Run.State.RUNNING && !this.jobs.isKnown(run.task().job());
-		if (isForeign && !this.unknownJobs.isAwaited(run.task().job())) {
+		boolean isJobUnknown = run.state() == Run.State.RUNNING && !this.jobs.isKnown(run.task().job());
+		if (isJobUnknown && !this.unknownJobs.isAwaited(run.task().job())) {
 			this.stopRun.accept(run, "its job is not known");
 		}
 	}
 
-	private void adopt(PoolWorker worker, RunningTask seen) {
+	private void adopt(PoolWorker worker, RunningTask reported) {
 		long now = this.clock.nanos();
-		int index = seen.task().index();
-		Optional<ActiveStep> step = findOpenStep(seen.task());
+		int index = reported.task().index();
+		Optional<ActiveStep> step = findOpenStep(reported.task());
 		if (step.isEmpty()) {
-			Run foreign = Run.adopted(seen, worker.id(), this.terminations.committedSize(seen.task(), worker), now);
-			worker.add(foreign);
-			if (!this.unknownJobs.isAwaited(seen.task().job())) {
-				this.stopRun.accept(foreign, "its job has ended or is not known");
+			Run unassigned = Run.adopted(reported, worker.id(),
+					this.terminations.committedSize(reported.task(), worker), now);
+			worker.add(unassigned);
+			if (!this.unknownJobs.isAwaited(reported.task().job())) {
+				this.stopRun.accept(unassigned, "its job has ended or is not known");
 			}
 			return;
 		}
-		Run run = Run.adopted(seen, worker.id(), step.get().spec().committedSize(), now);
-		run.updateCheckpoint(seen.checkpoint());
+		Run run = Run.adopted(reported, worker.id(), step.get().spec().committedSize(), now);
+		run.updateCheckpoint(reported.checkpoint());
 		run.setEstimateMillis(step.get().spec().estimateMillis());
 		worker.add(run);
 		if (step.get().progress().isDone(index) || step.get().hasRun(index)) {
@@ -107,7 +108,8 @@
 	}
 
 	/**
-	 * Take in what workers have told of a job before it was known.
+	 * Processes the terminations and runs that workers reported for a job before it was
+	 * loaded.
 	 * @param job the job's id
 	 * @param workers all workers
 	 */
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/RunController.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/RunController.java
@@ -21,44 +21,45 @@
 import org.monsoonrelay.model.submission.TaskKey;
 
 /**
- * Looks at workers, starts and stops runs, and takes in what workers tell. Invariants: a
- * run holds its room until the worker has told its end, has refused the start, or cannot
- * run it any more; an order without an answer is repeated unchanged, and a start that
- * stays unanswered is closed off by a stop before its room is used again. Not
+ * Polls workers, starts and stops runs, and processes the responses. Invariants: a run
+ * occupies its capacity until the worker reports its termination, refuses its start or
+ * can no longer run it; a request without a response is retried unchanged, and a start
+ * that remains unanswered is followed by a stop before its capacity is reused. Not
  * thread-safe: confined to the control thread.
  */
 final class RunController {
 
 	/**
-	 * How long a worker may hold a look back until something ends, milliseconds. Renews
-	 * leases seven times over and finds a silent connection within two seconds.
+	 * How long a worker may delay its response to a poll until a run terminates,
+	 * milliseconds. Renews a lease seven times before it expires and detects a dead
+	 * connection within two seconds.
 	 */
 	private static final long POLL_WAIT_MILLIS = 1000;
 
-	/** Pause between looks at a worker that does not answer, milliseconds. */
+	/** Delay before a request to an unreachable worker is retried, milliseconds. */
 	private static final long UNREACHABLE_RETRY_MILLIS = 200;
 
-	/** Longest pause of looks while ends wait to become durable, milliseconds. */
+	/** Maximum delay of polls until terminations are durable, milliseconds. */
 	private static final long MAX_DURABILITY_WAIT_MILLIS = 250;
 
 	/**
-	 * Pause of looks while ends of a job that is not known yet are kept, milliseconds. A
-	 * worker answers at once while it lists ends.
+	 * Delay between polls while terminations are deferred, milliseconds. A worker with
+	 * unacknowledged terminations responds to polls at once.
 	 */
 	private static final long DEFERRED_POLL_DELAY_MILLIS = 100;
 
-	/** Pause before an unanswered order is repeated, milliseconds. */
+	/** Delay before an unansweredRequests start is retried, milliseconds. */
 	private static final long START_RETRY_DELAY_MILLIS = 40;
 
-	/** Unanswered starts after which the run is stopped instead. */
+	/** Number of unansweredRequests start requests after which the run is stopped. */
 	private static final int MAX_START_REQUESTS = 4;
 
-	/** How long a worker that turned a start down gets no other, milliseconds. */
+	/** How long a worker is avoided after it refused a start, milliseconds. */
 	private static final long REFUSAL_BACKOFF_MILLIS = 500;
 
 	private final WorkerClient workerClient;
 
-	private final OwnerLease term;
+	private final OwnerLease ownerLease;
 
 	private final WorkerPool pool;
 
@@ -84,11 +85,11 @@
 
 	private boolean closed;
 
-	RunController(WorkerClient orders, OwnerLease term, WorkerPool pool, JobRegistry jobs, Predicate<String> isLoaded,
-			EligibilityTracker eligibility, ScheduledExecutorService control, PoolClock clock, DecisionLog log,
-			RunListener listener) {
-		this.workerClient = orders;
-		this.term = term;
+	RunController(WorkerClient workerClient, OwnerLease ownerLease, WorkerPool pool, JobRegistry jobs,
+			Predicate<String> isLoaded, EligibilityTracker eligibility, ScheduledExecutorService control,
+			PoolClock clock, DecisionLog log, RunListener listener) {
+		this.workerClient = workerClient;
+		this.ownerLease = ownerLease;
 		this.pool = pool;
 		this.jobs = jobs;
 		this.eligibility = eligibility;
@@ -96,9 +97,9 @@
 		this.clock = clock;
 		this.log = log;
 		this.listener = listener;
-		UnknownJobs unknown = new UnknownJobs(jobs, isLoaded, clock);
-		this.terminations = new RunTerminationHandler(jobs, unknown, log, clock, this::stop);
-		this.adoption = new RunAdoption(jobs, this.terminations, unknown, clock, this::confirm, this::stop);
+		UnknownJobs unknownJobs = new UnknownJobs(jobs, isLoaded, clock);
+		this.terminations = new RunTerminationHandler(jobs, unknownJobs, log, clock, this::stop);
+		this.adoption = new RunAdoption(jobs, this.terminations, unknownJobs, clock, this::confirm, this::stop);
 	}
 
 	void close() {
@@ -106,7 +107,7 @@
 	}
 
 	/**
-	 * Look at a worker again and again.
+	 * Polls a worker repeatedly until it is removed from the pool.
 	 * @param worker the worker
 	 */
 	void poll(PoolWorker worker) {
@@ -118,14 +119,15 @@
 		long sentNanos = this.clock.nanos();
 		if (worker.processedSequence() <= worker.durableSequence()) {
 			Optional.ofNullable(this.terminationsProcessedNanos.remove(worker.id()))
-				.ifPresent((taken) -> this.log.measured(Measure.ACKNOWLEDGEMENT, millisSince(taken)));
+				.ifPresent((processedNanos) -> this.log.measured(Measure.ACKNOWLEDGEMENT, millisSince(processedNanos)));
 		}
-		boolean extend = worker.isReachable() && this.term.canGrantLeases();
-		OptionalLong lease = extend ? OptionalLong.of(worker.lease().extend(sentNanos, this.term.workerLeaseMillis()))
+		boolean extendLease = worker.isReachable() && this.ownerLease.canGrantLeases();
+		OptionalLong leaseEndMillis = extendLease
+				? OptionalLong.of(worker.lease().extend(sentNanos, this.ownerLease.workerLeaseMillis()))
 				: OptionalLong.empty();
 		Duration wait = Duration.ofMillis(worker.isReachable() ? POLL_WAIT_MILLIS : 0);
-		PollRequest order = new PollRequest(this.term.epoch(), worker.durableSequence(), lease, wait);
-		this.workerClient.poll(worker.info(), order)
+		PollRequest request = new PollRequest(this.ownerLease.epoch(), worker.durableSequence(), leaseEndMillis, wait);
+		this.workerClient.poll(worker.info(), request)
 			.whenComplete(
 					OnThread.of(this.control, (outcome, failure) -> handlePollOutcome(worker, outcome, sentNanos)));
 	}
@@ -134,8 +136,8 @@
 		if (this.closed) {
 			return;
 		}
-		if (outcome instanceof PollOutcome.Report seen) {
-			handleReport(worker, seen, sentNanos);
+		if (outcome instanceof PollOutcome.Report report) {
+			handleReport(worker, report, sentNanos);
 		}
 		else if (outcome instanceof PollOutcome.Gone) {
 			this.pool.markReconciled(worker.id());
@@ -147,7 +149,8 @@
 			this.listener.workerFenced(worker.id());
 		}
 		else {
-			handleNoAnswer(worker, (outcome instanceof PollOutcome.NoAnswer none) ? none.reason() : "no outcome");
+			handleNoAnswer(worker,
+					(outcome instanceof PollOutcome.NoAnswer noAnswer) ? noAnswer.reason() : "no outcome");
 		}
 	}
 
@@ -163,14 +166,14 @@
 		this.control.schedule(() -> poll(worker), UNREACHABLE_RETRY_MILLIS, TimeUnit.MILLISECONDS);
 	}
 
-	private void handleReport(PoolWorker worker, PollOutcome.Report seen, long sentNanos) {
-		worker.lease().updateClock(seen.clockMillis(), this.clock.nanos());
+	private void handleReport(PoolWorker worker, PollOutcome.Report report, long sentNanos) {
+		worker.lease().updateClock(report.clockMillis(), this.clock.nanos());
 		worker.responseReceived(this.clock.nanos());
-		this.terminations.process(worker, seen.terminatedTasks());
-		this.adoption.reconcile(worker, seen.runningTasks(), sentNanos);
+		this.terminations.process(worker, report.terminatedTasks());
+		this.adoption.reconcile(worker, report.runningTasks(), sentNanos);
 		if (!worker.isReachable()) {
 			worker.markReachable();
-			this.log.write(new PoolDecision.WorkerReached(worker.id(), seen.runningTasks().size()));
+			this.log.write(new PoolDecision.WorkerReached(worker.id(), report.runningTasks().size()));
 		}
 		this.pool.markReconciled(worker.id());
 		this.listener.stateChanged();
@@ -188,7 +191,7 @@
 	}
 
 	/**
-	 * Go on with looks that waited for ends to become durable.
+	 * Resumes the polls that were delayed until terminations are durable.
 	 */
 	void onTerminationsDurable() {
 		for (String id : List.copyOf(this.awaitingDurability)) {
@@ -207,7 +210,8 @@
 	}
 
 	/**
-	 * Take in what workers have told of a job before it was known.
+	 * Processes the terminations and runs that workers reported for a job before it was
+	 * loaded.
 	 * @param job the job's id
 	 */
 	void onJobLoaded(String job) {
@@ -215,12 +219,12 @@
 	}
 
 	/**
-	 * Start a task on a worker that has room for it.
+	 * Starts a task on a worker with enough free capacity.
 	 * @param step the step
-	 * @param index the task
-	 * @param attempt the attempt
+	 * @param index the index of the task in the step
+	 * @param attempt the attempt number
 	 * @param worker the worker
-	 * @param ticket proof that the worker may run it, empty if none is needed
+	 * @param ticket the eligibility ticket, empty if noAnswer is required
 	 */
 	void start(ActiveStep step, int index, int attempt, PoolWorker worker, String ticket) {
 		long now = this.clock.nanos();
@@ -229,28 +233,29 @@
 		run.setEstimateMillis(step.spec().estimateMillis());
 		worker.add(run);
 		step.addRun(run);
-		this.log.write(new JobDecision.TaskPlaced(task.job(), task.toString(), attempt, worker.id(), this.term.epoch(),
-				worker.lease().clockAgeMillis(now), this.terminations.ageMillis(step.job())));
-		RunStartRequest order = new RunStartRequest(task, attempt, step.job().submission().spec(), 0, this.term.epoch(),
-				step.progress().checkpoint(index), ticket);
-		send(step, run, worker, order, 0);
+		this.log.write(new JobDecision.TaskPlaced(task.job(), task.toString(), attempt, worker.id(),
+				this.ownerLease.epoch(), worker.lease().clockAgeMillis(now), this.terminations.ageMillis(step.job())));
+		RunStartRequest request = new RunStartRequest(task, attempt, step.job().submission().spec(), 0,
+				this.ownerLease.epoch(), step.progress().checkpoint(index), ticket);
+		send(step, run, worker, request, 0);
 	}
 
-	private void send(ActiveStep step, Run run, PoolWorker worker, RunStartRequest order, int unanswered) {
+	private void send(ActiveStep step, Run run, PoolWorker worker, RunStartRequest request, int unansweredRequests) {
 		worker.requestSent(this.clock.nanos());
-		long lease = worker.lease().extend(this.clock.nanos(), this.term.workerLeaseMillis());
-		RunStartRequest leased = new RunStartRequest(order.task(), order.attempt(), order.spec(), lease,
-				order.fencingToken(), order.checkpoint(), order.ticket());
-		this.workerClient.start(worker.info(), leased).whenComplete(OnThread.of(this.control, (outcome, failure) -> {
-			boolean isOver = worker.run(run.task()).filter((held) -> held == run).isEmpty();
-			if (!this.closed && !isOver) {
-				handleStartOutcome(step, run, worker, order, outcome, unanswered);
-			}
-		}));
+		long leaseEndMillis = worker.lease().extend(this.clock.nanos(), this.ownerLease.workerLeaseMillis());
+		RunStartRequest leasedRequest = new RunStartRequest(request.task(), request.attempt(), request.spec(),
+				leaseEndMillis, request.fencingToken(), request.checkpoint(), request.ticket());
+		this.workerClient.start(worker.info(), leasedRequest)
+			.whenComplete(OnThread.of(this.control, (outcome, failure) -> {
+				boolean isReleased = worker.run(run.task()).filter((active) -> active == run).isEmpty();
+				if (!this.closed && !isReleased) {
+					handleStartOutcome(step, run, worker, request, outcome, unansweredRequests);
+				}
+			}));
 	}
 
-	private void handleStartOutcome(ActiveStep step, Run run, PoolWorker worker, RunStartRequest order,
-			RunRequestOutcome outcome, int unanswered) {
+	private void handleStartOutcome(ActiveStep step, Run run, PoolWorker worker, RunStartRequest request,
+			RunRequestOutcome outcome, int unansweredRequests) {
 		if (outcome.kind().isResponse()) {
 			worker.responseReceived(this.clock.nanos());
 		}
@@ -265,8 +270,8 @@
 		switch (outcome.kind()) {
 			case FENCED -> this.listener.workerFenced(worker.id());
 			case GONE -> handlePollOutcome(worker, new PollOutcome.Gone(), 0);
-			case NO_ANSWER -> retryStart(step, run, worker, order, unanswered + 1);
-			default -> handleRefusedStart(step, run, worker, outcome.kind(), unanswered);
+			case NO_ANSWER -> retryStart(step, run, worker, request, unansweredRequests + 1);
+			default -> handleRefusedStart(step, run, worker, outcome.kind(), unansweredRequests);
 		}
 	}
 
@@ -277,32 +282,33 @@
 		}
 	}
 
-	private void retryStart(ActiveStep step, Run run, PoolWorker worker, RunStartRequest order, int unanswered) {
+	private void retryStart(ActiveStep step, Run run, PoolWorker worker, RunStartRequest request,
+			int unansweredRequests) {
 		if (run.state() != Run.State.STARTING) {
 			return;
 		}
-		if (unanswered >= MAX_START_REQUESTS || step.job().isEnded() || !this.term.canGrantLeases()) {
+		if (unansweredRequests >= MAX_START_REQUESTS || step.job().isEnded() || !this.ownerLease.canGrantLeases()) {
 			stop(run, "its start stays unanswered");
 			return;
 		}
 		this.control.schedule(() -> {
 			boolean isWanted = run.state() == Run.State.STARTING
-					&& worker.run(run.task()).filter((held) -> held == run).isPresent();
+					&& worker.run(run.task()).filter((active) -> active == run).isPresent();
 			if (isWanted && !this.closed) {
-				send(step, run, worker, order, unanswered);
+				send(step, run, worker, request, unansweredRequests);
 			}
 		}, START_RETRY_DELAY_MILLIS, TimeUnit.MILLISECONDS);
 	}
 
 	private void handleRefusedStart(ActiveStep step, Run run, PoolWorker worker, RunRequestOutcome.Kind kind,
-			int unanswered) {
+			int unansweredRequests) {
 		switch (kind) {
 			case TICKET_REFUSED -> this.eligibility.ticketRefused(step.key(), worker.id());
 			case OLD_ATTEMPT -> step.recordAttempt(run.task().index(), run.attempt() + 1);
 			default -> worker.failures().avoid(this.clock.nanos(), REFUSAL_BACKOFF_MILLIS);
 		}
-		if (unanswered > 0 || run.state() != Run.State.STARTING) {
-			// An earlier order may yet be carried out.
+		if (unansweredRequests > 0 || run.state() != Run.State.STARTING) {
+			// An earlier start request may still be executed.
 			stop(run, "a repeated start was refused");
 			return;
 		}
@@ -311,9 +317,9 @@
 	}
 
 	/**
-	 * Stop a run, or keep it from starting.
+	 * Stops a run, or prevents its start.
 	 * @param run the run
-	 * @param reason why
+	 * @param reason the reason for the log
 	 */
 	void stop(Run run, String reason) {
 		Optional<PoolWorker> worker = this.pool.worker(run.workerId());
@@ -327,11 +333,11 @@
 	}
 
 	private void sendStop(Run run, PoolWorker worker) {
-		boolean isOver = worker.run(run.task()).filter((held) -> held == run).isEmpty();
-		if (this.closed || isOver) {
+		boolean isReleased = worker.run(run.task()).filter((active) -> active == run).isEmpty();
+		if (this.closed || isReleased) {
 			return;
 		}
-		this.workerClient.stop(worker.info(), run.task(), run.attempt(), this.term.epoch())
+		this.workerClient.stop(worker.info(), run.task(), run.attempt(), this.ownerLease.epoch())
 			.whenComplete(OnThread.of(this.control, (outcome, failure) -> {
 				switch (outcome.kind()) {
 					case DONE -> run.confirm(this.clock.nanos());
@@ -344,7 +350,7 @@
 	}
 
 	/**
-	 * Stop what runs of a job that has ended.
+	 * Stops all runs of a job that has ended.
 	 * @param job the job
 	 */
 	void onJobEnded(SubmittedJob job) {
@@ -352,7 +358,7 @@
 	}
 
 	/**
-	 * Send nothing more to workers that have become silent.
+	 * Places no more tasks on workers that have become unresponsive.
 	 */
 	void suspectUnresponsiveWorkers() {
 		for (PoolWorker worker : UnresponsiveWorkerDetector.updateSuspicions(this.pool.workers(), this.clock.nanos())) {
@@ -362,14 +368,16 @@
 	}
 
 	/**
-	 * Give up workers whose lease has lapsed, and forget those that are gone for good.
+	 * Expires held capacity and the leases of unreachable workers, and removes workers
+	 * that are no longer listed.
 	 */
 	void expireLeases() {
 		long now = this.clock.nanos();
 		for (PoolWorker worker : List.copyOf(this.pool.workers())) {
-			worker.expireReservations(now);
-			boolean isOver = !worker.isReachable() && (!worker.lease().isClockKnown() || worker.lease().isExpired(now));
-			if (!isOver) {
+			worker.expireHolds(now);
+			boolean isExpired = !worker.isReachable()
+					&& (!worker.lease().isClockKnown() || worker.lease().isExpired(now));
+			if (!isExpired) {
 				continue;
 			}
 			if (worker.lease().isClockKnown() && !worker.isLost()) {
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/RunListener.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/RunListener.java
@@ -1,18 +1,18 @@
 package org.monsoonrelay.logic.pool;
 
 /**
- * Told of what matters beyond single runs, on the control thread.
+ * Receives events that concern the whole pool. Called on the control thread.
  */
 interface RunListener {
 
 	/**
-	 * Room or progress has changed.
+	 * Called when free capacity or job progress may have changed.
 	 */
 	void stateChanged();
 
 	/**
-	 * A worker obeys a later owner.
-	 * @param worker the worker
+	 * Called when a worker rejects a request because it has served a later owner.
+	 * @param worker the worker's id
 	 */
 	void workerFenced(String worker);
 
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/RunSet.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/RunSet.java
@@ -11,14 +11,15 @@
 import org.monsoonrelay.model.submission.TaskKey;
 
 /**
- * The runs that may be alive on a worker. Invariant: there is one of a task at most. Not
+ * The runs that may be active on a worker. Invariant: at most one run per task. Not
  * thread-safe: confined to the control thread.
  */
 final class RunSet {
 
 	private final Map<TaskKey, Run> runs = new HashMap<>();
 
-	// Each gang that waits asks for it in each turn; it changes only with the runs.
+	// Cached because each waiting gang queries it in each turn; it changes only when a
+	// run is added or removed.
 	private long idleNanos;
 
 	private boolean idleTimeKnown;
@@ -50,10 +51,10 @@
 	}
 
 	/**
-	 * How long until all runs have ended by what is declared of them; what has run for
-	 * longer is taken to end now.
-	 * @param nowNanos the current time
-	 * @return milliseconds until the last one has ended, 0 if there is none
+	 * Returns the estimated time until all runs have terminated. A run that exceeds its
+	 * estimate counts as terminating now.
+	 * @param nowNanos the current monotonic time
+	 * @return milliseconds until the last run terminates, 0 if there are no runs
 	 */
 	long millisUntilIdle(long nowNanos) {
 		if (this.runs.isEmpty()) {
@@ -67,10 +68,10 @@
 	}
 
 	private long lastEstimatedEndNanos() {
-		Iterator<Run> each = this.runs.values().iterator();
-		long last = each.next().estimatedEndNanos();
-		while (each.hasNext()) {
-			long next = each.next().estimatedEndNanos();
+		Iterator<Run> iterator = this.runs.values().iterator();
+		long last = iterator.next().estimatedEndNanos();
+		while (iterator.hasNext()) {
+			long next = iterator.next().estimatedEndNanos();
 			if (next - last > 0) {
 				last = next;
 			}
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/RunTerminationHandler.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/RunTerminationHandler.java
@@ -16,11 +16,10 @@
 import org.monsoonrelay.model.submission.TaskKey;
 
 /**
- * What the end of a run means for its job. Invariants: only ends by failure count as
- * attempts; when a member of a gang ends other than well, all its members are stopped;
- * when a job ends, all its runs are stopped; an end is passed over only if its job is
- * known to have ended or can be taken not to exist. Not thread-safe: confined to the
- * control thread.
+ * Updates jobs when their runs terminate. Invariants: only failures count as attempts; if
+ * a member of a gang terminates without success, all members of the gang are stopped;
+ * when a job ends, all its runs are stopped; a termination is ignored only if its job has
+ * ended or does not exist. Not thread-safe: confined to the control thread.
  */
 final class RunTerminationHandler {
 
@@ -34,62 +33,63 @@
 
 	private final BiConsumer<Run, String> stopRun;
 
-	RunTerminationHandler(JobRegistry jobs, UnknownJobs unknown, DecisionLog log, PoolClock clock,
-			BiConsumer<Run, String> stop) {
+	RunTerminationHandler(JobRegistry jobs, UnknownJobs unknownJobs, DecisionLog log, PoolClock clock,
+			BiConsumer<Run, String> stopRun) {
 		this.jobs = jobs;
-		this.unknownJobs = unknown;
+		this.unknownJobs = unknownJobs;
 		this.log = log;
 		this.clock = clock;
-		this.stopRun = stop;
+		this.stopRun = stopRun;
 	}
 
 	/**
-	 * Take in the ends that a worker lists, but for those whose job is awaited. An end
-	 * counts as processed, so that it can be acknowledged, only if all before it do.
+	 * Processes the terminations that a worker reports. A termination whose job may still
+	 * be loaded is deferred. A termination is acknowledged only if all terminations with
+	 * lower sequence numbers are processed as well.
 	 * @param worker the worker
-	 * @param listed the ends in the order of their numbers
+	 * @param reported the reported terminations by ascending sequence number
 	 */
-	void process(PoolWorker worker, List<TerminatedTask> listed) {
-		List<TerminatedTask> kept = new ArrayList<>();
-		for (TerminatedTask end : listed) {
-			if (worker.hasProcessed(end)) {
+	void process(PoolWorker worker, List<TerminatedTask> reported) {
+		List<TerminatedTask> deferred = new ArrayList<>();
+		for (TerminatedTask termination : reported) {
+			if (worker.hasProcessed(termination)) {
 				continue;
 			}
-			if (this.unknownJobs.isAwaited(end.task().job())) {
-				kept.add(end);
+			if (this.unknownJobs.isAwaited(termination.task().job())) {
+				deferred.add(termination);
 				continue;
 			}
-			process(worker, end);
-			worker.markProcessed(end);
+			process(worker, termination);
+			worker.markProcessed(termination);
 		}
-		worker.deferTerminations(kept);
+		worker.deferTerminations(deferred);
 	}
 
-	private void process(PoolWorker worker, TerminatedTask end) {
+	private void process(PoolWorker worker, TerminatedTask termination) {
 		long ranMillis = -1;
-		Run run = worker.run(end.task()).filter((held) -> held.attempt() == end.attempt()).orElse(null);
+		Run run = worker.run(termination.task()).filter((held) -> held.attempt() == termination.attempt()).orElse(null);
 		if (run != null) {
 			ranMillis = run.isAdopted() ? -1 : ageMillis(run);
-			if (end.reason() != TerminationReason.DONE) {
+			if (termination.reason() != TerminationReason.DONE) {
 				recordWaste(run);
 			}
 			release(worker, run);
 		}
-		this.log.write(new JobDecision.TaskEnded(end.task().job(), end.task().toString(), end.attempt(), worker.id(),
-				end.reason().name(), ranMillis));
-		SubmittedJob job = this.jobs.job(end.task().job()).orElse(null);
-		if (job == null || !hasTask(job, end.task())) {
+		this.log.write(new JobDecision.TaskEnded(termination.task().job(), termination.task().toString(),
+				termination.attempt(), worker.id(), termination.reason().name(), ranMillis));
+		SubmittedJob job = this.jobs.job(termination.task().job()).orElse(null);
+		if (job == null || !hasTask(job, termination.task())) {
 			return;
 		}
-		recordProgress(worker, end, job);
-		updateJobState(job, end.task().stepKey(), end.reason() == TerminationReason.DONE);
+		recordProgress(worker, termination, job);
+		updateJobState(job, termination.task().stepKey(), termination.reason() == TerminationReason.DONE);
 	}
 
 	private long ageMillis(Run run) {
 		return TimeUnit.NANOSECONDS.toMillis(this.clock.nanos() - run.requestedNanos());
 	}
 
-	// Of a run that another owner started only what it took since is known.
+	// For an adopted run, only the time since its adoption is known.
 	private void recordWaste(Run run) {
 		this.log.measured(Measure.WASTE, ageMillis(run) * run.size().processors());
 	}
@@ -100,24 +100,24 @@
 				&& task.occurrence() < job.submission().timetable().occurrences();
 	}
 
-	private void recordProgress(PoolWorker worker, TerminatedTask end, SubmittedJob job) {
-		StepKey key = end.task().stepKey();
-		int index = end.task().index();
+	private void recordProgress(PoolWorker worker, TerminatedTask termination, SubmittedJob job) {
+		StepKey key = termination.task().stepKey();
+		int index = termination.task().index();
 		StepProgress progress = job.progress(key);
-		progress.noteAttempt(end.attempt());
-		this.jobs.step(key).ifPresent((step) -> step.recordAttempt(index, end.attempt()));
-		switch (end.reason()) {
+		progress.noteAttempt(termination.attempt());
+		this.jobs.step(key).ifPresent((step) -> step.recordAttempt(index, termination.attempt()));
+		switch (termination.reason()) {
 			case DONE -> {
 				progress.markDone(index);
 				worker.failures().recordSuccess();
 			}
 			case FAILED -> {
-				progress.saveCheckpoint(index, end.checkpoint());
-				if (progress.markFailed(index, end.attempt())) {
-					recordFailure(worker, end.task());
+				progress.saveCheckpoint(index, termination.checkpoint());
+				if (progress.markFailed(index, termination.attempt())) {
+					recordFailure(worker, termination.task());
 				}
 			}
-			default -> progress.saveCheckpoint(index, end.checkpoint());
+			default -> progress.saveCheckpoint(index, termination.checkpoint());
 		}
 	}
 
@@ -130,10 +130,10 @@
 	}
 
 	/**
-	 * Take in that a run is over without the worker's word on how it ended.
+	 * Handles a run that is no longer active although its worker reported no termination.
 	 * @param worker the worker
 	 * @param run the run
-	 * @param reason how that is known
+	 * @param reason why the run is considered lost
 	 */
 	void handleLostRun(PoolWorker worker, Run run, String reason) {
 		release(worker, run);
@@ -147,7 +147,7 @@
 	}
 
 	/**
-	 * Take in that a start was refused and nothing runs.
+	 * Handles a run whose start was refused, so that it never became active.
 	 * @param worker the worker
 	 * @param run the run
 	 */
@@ -161,7 +161,7 @@
 		this.jobs.step(run.task().stepKey()).ifPresent((step) -> step.removeRun(run));
 	}
 
-	private void updateJobState(SubmittedJob job, StepKey key, boolean isDone) {
+	private void updateJobState(SubmittedJob job, StepKey key, boolean isSuccess) {
 		boolean wasEnded = job.isEnded();
 		job.settle(key);
 		this.jobs.markDirty(job);
@@ -169,20 +169,20 @@
 			handleJobEnd(job);
 			return;
 		}
-		boolean isBroken = !isDone && job.submission().steps().get(key.step()).gang();
-		if (isBroken || job.progress(key).isComplete()) {
-			this.jobs.step(key).ifPresent((step) -> stopBrokenGang(step, isBroken));
+		boolean isGangBroken = !isSuccess && job.submission().steps().get(key.step()).gang();
+		if (isGangBroken || job.progress(key).isComplete()) {
+			this.jobs.step(key).ifPresent((step) -> stopBrokenGang(step, isGangBroken));
 		}
 	}
 
-	private void stopBrokenGang(ActiveStep step, boolean isBroken) {
-		if (isBroken && !step.progress().isComplete()) {
+	private void stopBrokenGang(ActiveStep step, boolean isGangBroken) {
+		if (isGangBroken && !step.progress().isComplete()) {
 			step.activeRuns().forEach((run) -> this.stopRun.accept(run, "another member of its gang has ended"));
 		}
 	}
 
 	/**
-	 * Stop what runs of a job that has ended.
+	 * Stops all runs of a job that has ended.
 	 * @param job the job
 	 */
 	void handleJobEnd(SubmittedJob job) {
@@ -196,10 +196,10 @@
 	}
 
 	/**
-	 * Room that a task holds.
+	 * Returns the capacity that a task occupies.
 	 * @param task the task
-	 * @param worker the worker on which it runs
-	 * @return what its job declares, all of the worker if that is not known
+	 * @param worker the worker on which the task runs
+	 * @return the size declared by the job, the whole capacity of the worker if unknown
 	 */
 	Resources committedSize(TaskKey task, PoolWorker worker) {
 		return this.jobs.job(task.job())
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/TaskPlacer.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/TaskPlacer.java
@@ -277,7 +277,7 @@
 				return;
 			}
 			step.setHoldingCapacity(false);
-			this.pool.workers().forEach((worker) -> worker.cancelReservation(step.key()));
+			this.pool.workers().forEach((worker) -> worker.releaseHold(step.key()));
 		}
 		List<PoolWorker> fitting = fittingWorkers(turn, kept::isAvailableToGangs);
 		Optional<Map<Integer, PoolWorker>> ready = this.gangs.plan(turn,
@@ -338,7 +338,7 @@
 		long until = this.clock.nanos() + TimeUnit.MILLISECONDS.toNanos((long) millis);
 		ActiveStep step = turn.step();
 		step.setHoldingCapacity(true);
-		counts.forEach((worker, count) -> worker.reserve(step.key(), step.spec().committedSize().times(count), until));
+		counts.forEach((worker, count) -> worker.hold(step.key(), step.spec().committedSize().times(count), until));
 	}
 
 	private void start(PlacementContext turn, int index, int attempt, PoolWorker worker) {
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/UnresponsiveWorkerDetector.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/UnresponsiveWorkerDetector.java
@@ -8,54 +8,53 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Finds workers that have become silent before their looks time out, so that no more
- * tasks are sent there: a worker whose order stays unanswered, and all workers of a
- * failure domain of which two are so and none is heard of. Answers the load of a failure
- * domain that is cut off: a look takes 1.45 s to fail, and meanwhile nearly every job of
- * several tasks lost one to that domain for the length of the cut. A doubted worker is
- * used again with its next answer. Stateless.
+ * Detects unresponsive workers before their polls time out, so that no more tasks are
+ * placed on them. A worker is suspected if a request to it stays unanswered, or if two
+ * workers of its failure domain have unanswered requests and no worker of the domain
+ * responded since. Without this detection, nearly every job with several tasks loses one
+ * of them to a partitioned failure domain until the partition heals, because a poll takes
+ * 1.45 s to fail. A suspected worker is used again after its next response. Stateless.
  */
 final class UnresponsiveWorkerDetector {
 
 	/**
-	 * How long an order may stay unanswered, milliseconds. Workers answer within 2 ms;
-	 * this leaves room for a connection that has to be opened and for a pause of this
-	 * process.
+	 * How long a request may stay unanswered, milliseconds. Workers respond within 2 ms;
+	 * the rest allows for opening a connection and for a pause of this process.
 	 */
 	static final long RESPONSE_TIMEOUT_MILLIS = 150;
 
-	/** Workers with unanswered orders from which on a failure domain is doubted. */
+	/** Minimum unresponsive workers for which a whole failure domain is suspected. */
 	private static final int MIN_UNRESPONSIVE_PER_DOMAIN = 2;
 
 	private UnresponsiveWorkerDetector() {
 	}
 
 	/**
-	 * Judge all workers anew.
-	 * @param workers the workers
-	 * @param nowNanos the current time
-	 * @return those that are doubted from now on
+	 * Updates for each worker whether it is suspected to be unresponsive.
+	 * @param workers all workers
+	 * @param nowNanos the current monotonic time
+	 * @return the workers that became suspected
 	 */
 	static List<PoolWorker> updateSuspicions(Collection<PoolWorker> workers, long nowNanos) {
-		long limit = TimeUnit.MILLISECONDS.toNanos(RESPONSE_TIMEOUT_MILLIS);
+		long timeoutNanos = TimeUnit.MILLISECONDS.toNanos(RESPONSE_TIMEOUT_MILLIS);
 		Map<String, FailureDomainStatus> domains = new HashMap<>();
 		for (PoolWorker worker : workers) {
-			if (worker.unansweredNanos(nowNanos) > limit) {
+			if (worker.unansweredNanos(nowNanos) > timeoutNanos) {
 				domains.computeIfAbsent(worker.info().failureDomain(), (name) -> new FailureDomainStatus())
 					.add(worker, nowNanos);
 			}
 		}
-		List<PoolWorker> doubted = new ArrayList<>();
+		List<PoolWorker> newlySuspected = new ArrayList<>();
 		for (PoolWorker worker : workers) {
 			FailureDomainStatus domain = domains.get(worker.info().failureDomain());
-			boolean isDoubted = domain != null
-					&& (worker.unansweredNanos(nowNanos) > limit || domain.isUnresponsive(workers, worker, nowNanos));
-			if (isDoubted && !worker.isSuspected()) {
-				doubted.add(worker);
+			boolean isSuspected = domain != null && (worker.unansweredNanos(nowNanos) > timeoutNanos
+					|| domain.isUnresponsive(workers, worker, nowNanos));
+			if (isSuspected && !worker.isSuspected()) {
+				newlySuspected.add(worker);
 			}
-			worker.setSuspected(isDoubted);
+			worker.setSuspected(isSuspected);
 		}
-		return doubted;
+		return newlySuspected;
 	}
 
 	private static final class FailureDomainStatus {
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/WorkerLease.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/WorkerLease.java
@@ -3,13 +3,13 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The lease under which everything on one worker runs, measured on the worker's clock.
- * Invariant: {@link #isExpired} is true only if no order sent by this owner can keep a
- * run alive there. Not thread-safe: confined to the control thread.
+ * The lease under which all runs on one worker execute, measured on the worker's clock.
+ * Invariant: {@link #isExpired} is true only if no request sent by this owner can keep a
+ * run active on the worker. Not thread-safe: confined to the control thread.
  */
 final class WorkerLease {
 
-	/** A worker's clock runs at least at this rate. */
+	/** Minimum rate of a worker's clock relative to the clock of this process. */
 	static final double MIN_CLOCK_RATE = 0.98;
 
 	private long clockMillis;
@@ -21,13 +21,14 @@
 	private boolean clockKnown;
 
 	/**
-	 * Take in the worker's clock.
-	 * @param clock what it said
-	 * @param nowNanos when that arrived
+	 * Updates the last known reading of the worker's clock. A reading lower than the last
+	 * one arrived out of order and is ignored.
+	 * @param clock the reading, milliseconds
+	 * @param nowNanos monotonic time at which the reading arrived
 	 */
 	void updateClock(long clock, long nowNanos) {
 		if (!this.clockKnown) {
-			// An earlier owner may have extended the lease up to now.
+			// An earlier owner may have extended the lease until just now.
 			this.leaseEndMillis = clock + OwnerLease.MAX_WORKER_LEASE_MILLIS + OwnerLease.EXPIRY_MILLIS;
 		}
 		if (!this.clockKnown || clock >= this.clockMillis) {
@@ -46,28 +47,31 @@
 	}
 
 	/**
-	 * Extend the lease with an order that is about to be sent.
-	 * @param nowNanos the current time
-	 * @param forMillis how long from now
-	 * @return the end on the worker's clock
+	 * Extends the lease with a request that is about to be sent. The lease is never
+	 * shortened.
+	 * @param nowNanos the current monotonic time
+	 * @param durationMillis duration of the lease from now, milliseconds
+	 * @return the requested end of the lease on the worker's clock, milliseconds
 	 */
-	long extend(long nowNanos, long forMillis) {
-		long until = this.clockMillis + TimeUnit.NANOSECONDS.toMillis(nowNanos - this.clockReadNanos) + forMillis;
-		this.leaseEndMillis = Math.max(this.leaseEndMillis, until);
-		return until;
+	long extend(long nowNanos, long durationMillis) {
+		long endMillis = this.clockMillis + TimeUnit.NANOSECONDS.toMillis(nowNanos - this.clockReadNanos)
+				+ durationMillis;
+		this.leaseEndMillis = Math.max(this.leaseEndMillis, endMillis);
+		return endMillis;
 	}
 
 	/**
-	 * Whether the lease has run out even on the slowest clock.
-	 * @param nowNanos the current time
-	 * @return {@code true} if nothing that this owner ordered runs there any more
+	 * Returns whether the lease has expired even if the worker's clock runs at the
+	 * minimum rate.
+	 * @param nowNanos the current monotonic time
+	 * @return {@code true} if no run started by this owner can still be active
 	 */
 	boolean isExpired(long nowNanos) {
 		if (this.leaseEndMillis <= this.clockMillis) {
 			return true;
 		}
-		double longest = (this.leaseEndMillis - this.clockMillis) / MIN_CLOCK_RATE;
-		return TimeUnit.NANOSECONDS.toMillis(nowNanos - this.clockReadNanos) > longest + 1;
+		double maxRemainingMillis = (this.leaseEndMillis - this.clockMillis) / MIN_CLOCK_RATE;
+		return TimeUnit.NANOSECONDS.toMillis(nowNanos - this.clockReadNanos) > maxRemainingMillis + 1;
 	}
 
 }
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/WorkerPool.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/WorkerPool.java
@@ -14,8 +14,8 @@
 import org.monsoonrelay.model.submission.TaskKey;
 
 /**
- * The workers of the pool, by the id of their life. A worker stays known after the list
- * has dropped it until nothing can run there any more. Not thread-safe: confined to the
+ * The workers of the pool by the id of their incarnation. A worker that is no longer
+ * listed is kept until no run can be active there. Not thread-safe: confined to the
  * control thread.
  */
 final class WorkerPool {
@@ -31,8 +31,8 @@
 	private long capacityVersion;
 
 	/**
-	 * Take over the workers that an earlier owner's row names.
-	 * @param earlier the row
+	 * Starts the recovery of the workers in the record of an earlier owner.
+	 * @param earlier the record of the earlier owner
 	 */
 	void recoverFrom(OwnerRecord earlier) {
 		this.unreconciledWorkers.addAll(earlier.workers());
@@ -42,7 +42,7 @@
 					(known) -> this.unconfirmedTasks.put(worker, known), () -> this.unreconciledWorkers.add(worker)));
 	}
 
-	// What runs on a worker whose tasks cannot be read may be anything.
+	// If the tasks cannot be parsed, any task may run on the worker.
 	private static Optional<Set<TaskKey>> parseTasks(List<String> tasks) {
 		try {
 			return Optional.of(Set.copyOf(tasks.stream().map(TaskKey::parse).toList()));
@@ -53,9 +53,9 @@
 	}
 
 	/**
-	 * Take in the list of workers.
-	 * @param listed all workers that the list names
-	 * @return workers that were not known
+	 * Updates the pool from the host list.
+	 * @param listed all listed workers
+	 * @return the workers that were added to the pool
 	 */
 	List<PoolWorker> update(Collection<WorkerInfo> listed) {
 		Set<String> present = new HashSet<>();
@@ -82,7 +82,7 @@
 	}
 
 	/**
-	 * Note that what an earlier owner may have started on a worker is known.
+	 * Records that all runs that an earlier owner may have started on a worker are known.
 	 * @param id the worker's id
 	 */
 	void markReconciled(String id) {
@@ -91,23 +91,23 @@
 	}
 
 	/**
-	 * Whether it is known what runs on every worker that an earlier owner used.
-	 * @return {@code true} if so
+	 * Returns whether the runs on all workers that an earlier owner used are known.
+	 * @return {@code true} if the recovery is complete
 	 */
-	boolean isFullyReconciled() {
+	boolean isRecoveryComplete() {
 		return this.unreconciledWorkers.isEmpty();
 	}
 
 	/**
-	 * Give up waiting for workers that an earlier owner used: its leases have lapsed.
+	 * Ends the recovery because all leases granted by earlier owners have expired.
 	 */
-	void abandonReconciliation() {
+	void abandonRecovery() {
 		this.unreconciledWorkers.clear();
 		this.unconfirmedTasks.clear();
 	}
 
 	/**
-	 * Whether no task can run on a worker of which nothing was heard yet.
+	 * Returns whether no task may be active on a worker that has not reported yet.
 	 * @return {@code true} if {@link #mayRunUnconfirmed} is {@code false} for all tasks
 	 */
 	boolean hasNoUnconfirmedTasks() {
@@ -115,21 +115,21 @@
 	}
 
 	/**
-	 * Whether a task may run on a worker that did not answer an earlier owner or was
-	 * leaving then, and has not been heard of since.
+	 * Returns whether a task may be active on a worker that was unreachable or draining
+	 * under an earlier owner and has not reported since.
 	 * @param task the task
-	 * @return {@code true} if so
+	 * @return {@code true} if the task may be active on such a worker
 	 */
 	boolean mayRunUnconfirmed(TaskKey task) {
 		return this.unconfirmedTasks.values().stream().anyMatch((tasks) -> tasks.contains(task));
 	}
 
 	/**
-	 * What the owner's row has to say of the workers from its next write on. A worker
-	 * that does not answer or is leaving takes nothing until a row names it again, so
-	 * that no more than its present runs can be there. One that is gone would otherwise
-	 * hold up all jobs of the next owner for the length of a lease.
-	 * @return the workers
+	 * Returns the workers to write to the next owner record. An unreachable or draining
+	 * worker is recorded with its current runs only and accepts no work until a record
+	 * lists it as usable again. Otherwise a worker that has disappeared would delay all
+	 * jobs of the next owner by the duration of a lease.
+	 * @return the workers to record
 	 */
 	RecordedWorkers workersToRecord() {
 		Set<String> ids = new HashSet<>(this.unreconciledWorkers);
@@ -160,17 +160,17 @@
 	}
 
 	/**
-	 * Number of the last change of a worker that may have made room, see
-	 * {@link PoolWorker#capacityVersion()}.
-	 * @return the number
+	 * Returns the number of changes so far by which a worker may accept a task that it
+	 * could not accept before, see {@link PoolWorker#capacityVersion()}.
+	 * @return the version
 	 */
 	long capacityVersion() {
 		return this.capacityVersion;
 	}
 
 	/**
-	 * Note which workers the durable row names.
-	 * @param ids their ids
+	 * Records which workers the durable owner record contains.
+	 * @param ids the ids of the workers
 	 */
 	void markRecorded(Collection<String> ids) {
 		this.recordedWorkers.clear();
@@ -179,13 +179,13 @@
 	}
 
 	Map<String, Long> processedSequences() {
-		Map<String, Long> ends = new HashMap<>();
-		this.workers.values().forEach((worker) -> ends.put(worker.id(), worker.processedSequence()));
-		return ends;
+		Map<String, Long> sequences = new HashMap<>();
+		this.workers.values().forEach((worker) -> sequences.put(worker.id(), worker.processedSequence()));
+		return sequences;
 	}
 
-	void markDurable(Map<String, Long> ends) {
-		ends.forEach((id, number) -> worker(id).ifPresent((worker) -> worker.markDurable(number)));
+	void markDurable(Map<String, Long> sequences) {
+		sequences.forEach((id, sequence) -> worker(id).ifPresent((worker) -> worker.markDurable(sequence)));
 	}
 
 	Optional<PoolWorker> worker(String id) {
@@ -201,9 +201,9 @@
 	}
 
 	/**
-	 * How much of the workers that take tasks is in use.
-	 * @param nowNanos the current time
-	 * @return share of their processors that runs hold, 1 if there are no such workers
+	 * Returns the utilization of the workers that accept work.
+	 * @param nowNanos the current monotonic time
+	 * @return the committed share of their processors, 1 if there are no such workers
 	 */
 	double utilization(long nowNanos) {
 		long capacity = 0;
@@ -218,14 +218,17 @@
 	}
 
 	/**
-	 * What an owner's row says of the workers. Immutable.
+	 * The workers in an owner record. Immutable.
 	 *
-	 * @param workers those on which anything may run
-	 * @param closedWorkers tasks on workers that take nothing new
+	 * @param workers ids of the workers on which any task may run
+	 * @param closedWorkers tasks that may run on workers that accept no new work, by the
+	 * worker's id
 	 */
 	record RecordedWorkers(List<String> workers, Map<String, List<String>> closedWorkers) {
 
-		/** Most tasks in a row; a row takes 48 KB, a task 24 bytes. */
+		/**
+		 * Maximum tasks in a record; a row is limited to 48 KB, a task takes 24 bytes.
+		 */
 		private static final int MAX_TASKS = 1000;
 
 		private RecordedWorkers bounded() {
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/PlacementRulesTests.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/PlacementRulesTests.java
@@ -138,10 +138,10 @@
 			Run run = Run.starting(new TaskKey("a", 0, 0, 0), 1, "w", SIZE, 0);
 			worker.add(run);
 			run.markStopping();
-			worker.reserve(new StepKey("b", 0, 0), SIZE, 100);
+			worker.hold(new StepKey("b", 0, 0), SIZE, 100);
 			assertThat(worker.canAccept(SIZE, 0)).isTrue();
 			assertThat(worker.canAccept(SIZE.times(2), 0)).isFalse();
-			worker.expireReservations(101);
+			worker.expireHolds(101);
 			assertThat(worker.canAccept(SIZE.times(2), 0)).isTrue();
 			worker.release(run.task());
 			assertThat(worker.free()).isEqualTo(new Resources(3000, 800, 0));
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/PoolWorkerTests.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/PoolWorkerTests.java
@@ -41,14 +41,14 @@
 	}
 
 	@Test
-	void reservesCapacityUntilTheReservationExpires() {
-		this.worker.reserve(STEP, SIZE, 10);
-		this.worker.cancelReservation(new StepKey("third", 0, 0));
+	void holdsCapacityUntilTheHoldExpires() {
+		this.worker.hold(STEP, SIZE, 10);
+		this.worker.releaseHold(new StepKey("third", 0, 0));
 		assertThat(this.worker.free()).isEqualTo(new Resources(800, 900, 1));
-		this.worker.expireReservations(11);
+		this.worker.expireHolds(11);
 		assertThat(this.worker.free()).isEqualTo(new Resources(1000, 1000, 2));
-		this.worker.reserve(STEP, SIZE, 10);
-		this.worker.cancelReservation(STEP);
+		this.worker.hold(STEP, SIZE, 10);
+		this.worker.releaseHold(STEP);
 		assertThat(this.worker.free()).isEqualTo(new Resources(1000, 1000, 2));
 	}
 
@@ -61,10 +61,10 @@
 		assertThat(this.worker.free()).isEqualTo(new Resources(200, 900, 1));
 	}
 
-	private static Run runWithEstimate(int index, long orderedMillis, long millis) {
+	private static Run runWithEstimate(int index, long requestedMillis, long estimateMillis) {
 		Run run = Run.starting(new TaskKey("job", 0, 0, index), 1, "w", SIZE,
-				TimeUnit.MILLISECONDS.toNanos(orderedMillis));
-		run.setEstimateMillis(millis);
+				TimeUnit.MILLISECONDS.toNanos(requestedMillis));
+		run.setEstimateMillis(estimateMillis);
 		return run;
 	}
 
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/UnreadableJobsTests.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/UnreadableJobsTests.java
@@ -182,9 +182,9 @@
 					java.util.Map.of("w1", java.util.List.of("not a task")), HostSize.UNKNOWN, java.util.List.of(),
 					true));
 			pool.markReconciled("w0");
-			assertThat(pool.isFullyReconciled()).isFalse();
+			assertThat(pool.isRecoveryComplete()).isFalse();
 			pool.markReconciled("w1");
-			assertThat(pool.isFullyReconciled()).isTrue();
+			assertThat(pool.isRecoveryComplete()).isTrue();
 		}
 
 	}
