--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/FaultyWorkersTests.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/FaultyWorkersTests.java
@@ -32,15 +32,15 @@
 
 	@Test
 	void aDelayedStartNeitherExceedsTheCapacityNorRunsATaskTwice() {
-		SimulatedWorkers.SimulatedWorker late = this.cell.workers.add("w9", SimulatedCell.CAPACITY);
+		SimulatedWorkers.SimulatedWorker delayedWorker = this.cell.workers.add("w9", SimulatedCell.CAPACITY);
 		this.cell.addScheduler();
 		this.cell.time.runFor(500);
-		late.setStartDelayMillis(3000);
+		delayedWorker.setStartDelayMillis(3000);
 		for (int i = 0; i < 6; i++) {
 			this.cell.submit("job" + i, SimulatedCell.step(5, i % 2 == 0));
 		}
 		this.cell.time.runFor(2500);
-		late.setStartDelayMillis(0);
+		delayedWorker.setStartDelayMillis(0);
 		this.cell.time.runFor(LEASE_EXPIRY_MILLIS);
 		for (int i = 0; i < 6; i++) {
 			assertCompleted("job" + i);
@@ -51,13 +51,13 @@
 	void tasksOfACrashedWorkerAreRestartedAfterItsLeaseExpires() {
 		this.cell.addScheduler();
 		this.cell.time.runFor(500);
-		SimulatedWorkers.SimulatedWorker lost = this.cell.workers.add("w9", SimulatedCell.CAPACITY);
+		SimulatedWorkers.SimulatedWorker crashedWorker = this.cell.workers.add("w9", SimulatedCell.CAPACITY);
 		this.cell.time.runFor(1000);
 		this.cell.submit("a", SimulatedCell.step(16, true));
 		this.cell.time.runFor(200);
-		assertThat(lost.runningCount()).isPositive();
-		lost.crash();
-		lost.removeFromList();
+		assertThat(crashedWorker.runningCount()).isPositive();
+		crashedWorker.crash();
+		crashedWorker.removeFromList();
 		this.cell.workers.add("w10", SimulatedCell.CAPACITY);
 		this.cell.time.runFor(LEASE_EXPIRY_MILLIS);
 		assertCompleted("a");
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/MeasuresTests.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/MeasuresTests.java
@@ -49,8 +49,9 @@
 		startSchedulerWithWorker(true);
 		this.cell.submit("a", 2, SimulatedCell.step(1, false));
 		this.cell.time.runFor(4000);
-		long one = SimulatedCell.RUN_MILLIS * SimulatedCell.TASK.processors();
-		assertThat(valuesOf(Measure.WASTE)).hasSize(2).allMatch((waste) -> waste >= one && waste < one * 11 / 10);
+		long wastePerRun = SimulatedCell.RUN_MILLIS * SimulatedCell.TASK.processors();
+		assertThat(valuesOf(Measure.WASTE)).hasSize(2)
+			.allMatch((waste) -> waste >= wastePerRun && waste < wastePerRun * 11 / 10);
 	}
 
 	@Test
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/SimulatedWorkers.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/SimulatedWorkers.java
@@ -16,10 +16,11 @@
 import org.monsoonrelay.model.submission.TaskKey;
 
 /**
- * Workers in memory on virtual time: leases on their own clocks, fences, ends that are
- * listed until acknowledged, and faults. They start whatever they are told to, and keep a
- * list of what must never happen: two runs of a task at once, more than the capacity, a
- * start after an acknowledged end. Not thread-safe.
+ * In-memory workers on virtual time. They implement leases, fencing tokens and
+ * terminations that are reported until acknowledged, and can simulate faults. They
+ * execute each valid start request and record violations of the scheduler's guarantees:
+ * two concurrent runs of a task, runs that exceed the capacity, and a start after an
+ * acknowledged successful termination. Not thread-safe.
  */
 final class SimulatedWorkers {
 
@@ -27,6 +28,8 @@
 
 	private static final long REQUEST_TIMEOUT_MILLIS = 450;
 
+	private static final long LONG_POLL_MILLIS = 40;
+
 	private final VirtualTime time;
 
 	private final Map<String, SimulatedWorker> workers = new LinkedHashMap<>();
@@ -54,43 +57,39 @@
 	}
 
 	SimulatedWorker add(String id, Resources capacity) {
-		SimulatedWorker machine = new SimulatedWorker(
+		SimulatedWorker worker = new SimulatedWorker(
 				new WorkerInfo(id, "salon", "10.0.0.1:1", "porto", capacity, List.of("a", "r1"), "r1", false, 0));
-		this.workers.put(id, machine);
-		return machine;
+		this.workers.put(id, worker);
+		return worker;
 	}
 
 	List<WorkerInfo> listedWorkers() {
-		return this.workers.values()
-			.stream()
-			.filter((machine) -> machine.listed)
-			.map((machine) -> machine.info)
-			.toList();
+		return this.workers.values().stream().filter((worker) -> worker.listed).map((worker) -> worker.info).toList();
 	}
 
 	/**
-	 * A worker says that it is about to leave.
-	 * @param id the worker
+	 * Marks a worker as draining in the host list.
+	 * @param id the worker's id
 	 */
 	void drain(String id) {
-		SimulatedWorker machine = this.workers.get(id);
-		WorkerInfo info = machine.info;
-		machine.info = new WorkerInfo(info.id(), info.service(), info.address(), info.failureDomain(), info.capacity(),
+		SimulatedWorker worker = this.workers.get(id);
+		WorkerInfo info = worker.info;
+		worker.info = new WorkerInfo(info.id(), info.service(), info.address(), info.failureDomain(), info.capacity(),
 				info.labels(), info.rack(), true, 2000);
 	}
 
 	String workerRunning(TaskKey task) {
 		return this.workers.values()
 			.stream()
-			.filter((machine) -> machine.runningAttempts.containsKey(task))
-			.map((machine) -> machine.info.id())
+			.filter((worker) -> worker.runningAttempts.containsKey(task))
+			.map((worker) -> worker.info.id())
 			.findFirst()
 			.orElseThrow();
 	}
 
 	/**
-	 * A worker stops for good and is listed no more.
-	 * @param id the worker
+	 * Crashes a worker and removes it from the host list.
+	 * @param id the worker's id
 	 */
 	void crash(String id) {
 		this.workers.get(id).crash();
@@ -106,8 +105,8 @@
 	}
 
 	/**
-	 * What runs.
-	 * @return the tasks
+	 * Returns the tasks that are running on any worker.
+	 * @return the running tasks
 	 */
 	Set<TaskKey> runningTasks() {
 		return this.runningTasks.keySet();
@@ -118,14 +117,15 @@
 	}
 
 	/**
-	 * A process's way to the workers, which can be cut from some of them.
-	 * @return the way
+	 * Creates the client of one scheduler process, which can be disconnected from some
+	 * workers.
+	 * @return the client
 	 */
 	Client client() {
 		return new Client();
 	}
 
-	/** One worker. */
+	/** One simulated worker. */
 	final class SimulatedWorker {
 
 		private final Map<TaskKey, Integer> runningAttempts = new LinkedHashMap<>();
@@ -170,8 +170,8 @@
 			this.failing = isFailing;
 		}
 
-		void setLosesStartResponses(boolean loses) {
-			this.losesStartResponses = loses;
+		void setLosesStartResponses(boolean isLosing) {
+			this.losesStartResponses = isLosing;
 		}
 
 		void setStartDelayMillis(long millis) {
@@ -182,18 +182,18 @@
 			return this.runningAttempts.size();
 		}
 
-		private boolean rejectsFencingToken(long token) {
-			if (token < this.highestFencingToken) {
+		private boolean rejectsFencingToken(long fencingToken) {
+			if (fencingToken < this.highestFencingToken) {
 				return true;
 			}
-			this.highestFencingToken = token;
+			this.highestFencingToken = fencingToken;
 			return false;
 		}
 
-		private void extendLease(long until) {
-			this.leaseEndMillis = Math.max(this.leaseEndMillis, until);
+		private void extendLease(long endMillis) {
+			this.leaseEndMillis = Math.max(this.leaseEndMillis, endMillis);
 			SimulatedWorkers.this.time.schedule(this::terminateIfLeaseExpired,
-					Math.max(0, until - SimulatedWorkers.this.time.millis()) + 1, TimeUnit.MILLISECONDS);
+					Math.max(0, endMillis - SimulatedWorkers.this.time.millis()) + 1, TimeUnit.MILLISECONDS);
 		}
 
 		private void terminateIfLeaseExpired() {
@@ -202,7 +202,7 @@
 			}
 		}
 
-		private void terminate(TaskKey task, TerminationReason kind) {
+		private void terminate(TaskKey task, TerminationReason reason) {
 			Integer attempt = this.runningAttempts.remove(task);
 			if (attempt == null) {
 				return;
@@ -210,55 +210,55 @@
 			SimulatedWorkers.this.runningTasks.remove(task);
 			this.highestTerminatedAttempts.merge(task, attempt, Math::max);
 			this.lastSequence++;
-			this.terminatedTasks.add(new TerminatedTask(this.lastSequence, task, attempt, kind, ""));
+			this.terminatedTasks.add(new TerminatedTask(this.lastSequence, task, attempt, reason, ""));
 		}
 
 		private void startRun(TaskKey task, int attempt) {
-			SimulatedWorkers workers = SimulatedWorkers.this;
-			workers.startCounts.merge(task, 1, Integer::sum);
-			if (workers.runningTasks.putIfAbsent(task, attempt) != null) {
-				workers.violations.add("two runs of " + task);
+			SimulatedWorkers simulation = SimulatedWorkers.this;
+			simulation.startCounts.merge(task, 1, Integer::sum);
+			if (simulation.runningTasks.putIfAbsent(task, attempt) != null) {
+				simulation.violations.add("two concurrent runs of " + task);
 			}
-			if (workers.acknowledgedTasks.contains(task)) {
-				workers.violations.add("a start after the acknowledged end of " + task);
+			if (simulation.acknowledgedTasks.contains(task)) {
+				simulation.violations.add("start after the acknowledged termination of " + task);
 			}
 			this.runningAttempts.put(task, attempt);
-			if (!this.info.capacity().covers(workers.taskSize.times(this.runningAttempts.size()))) {
-				workers.violations.add("over the capacity of " + this.info.id());
+			if (!this.info.capacity().covers(simulation.taskSize.times(this.runningAttempts.size()))) {
+				simulation.violations.add("runs exceed the capacity of " + this.info.id());
 			}
-			TerminationReason kind = this.failing ? TerminationReason.FAILED : TerminationReason.DONE;
-			workers.time.schedule(() -> terminateAttempt(task, attempt, kind), workers.runMillis.applyAsLong(task),
-					TimeUnit.MILLISECONDS);
+			TerminationReason reason = this.failing ? TerminationReason.FAILED : TerminationReason.DONE;
+			simulation.time.schedule(() -> terminateAttempt(task, attempt, reason),
+					simulation.runMillis.applyAsLong(task), TimeUnit.MILLISECONDS);
 		}
 
-		private void terminateAttempt(TaskKey task, int attempt, TerminationReason kind) {
+		private void terminateAttempt(TaskKey task, int attempt, TerminationReason reason) {
 			if (Integer.valueOf(attempt).equals(this.runningAttempts.get(task))) {
-				terminate(task, kind);
+				terminate(task, reason);
 			}
 		}
 
-		private RunRequestOutcome start(RunStartRequest order) {
+		private RunRequestOutcome start(RunStartRequest request) {
 			long now = SimulatedWorkers.this.time.millis();
-			if (rejectsFencingToken(order.fencingToken())) {
+			if (rejectsFencingToken(request.fencingToken())) {
 				return new RunRequestOutcome(Kind.FENCED, now);
 			}
-			if (order.leaseEndMillis() < now) {
+			if (request.leaseEndMillis() < now) {
 				return new RunRequestOutcome(Kind.TOO_LATE, now);
 			}
-			extendLease(order.leaseEndMillis());
-			if (Integer.valueOf(order.attempt()).equals(this.runningAttempts.get(order.task()))) {
+			extendLease(request.leaseEndMillis());
+			if (Integer.valueOf(request.attempt()).equals(this.runningAttempts.get(request.task()))) {
 				return new RunRequestOutcome(Kind.DONE, now);
 			}
-			if (this.highestTerminatedAttempts.getOrDefault(order.task(), 0) >= order.attempt()) {
+			if (this.highestTerminatedAttempts.getOrDefault(request.task(), 0) >= request.attempt()) {
 				return new RunRequestOutcome(Kind.OLD_ATTEMPT, now);
 			}
-			startRun(order.task(), order.attempt());
+			startRun(request.task(), request.attempt());
 			return new RunRequestOutcome(Kind.DONE, now);
 		}
 
-		private RunRequestOutcome stop(TaskKey task, int attempt, long token) {
+		private RunRequestOutcome stop(TaskKey task, int attempt, long fencingToken) {
 			long now = SimulatedWorkers.this.time.millis();
-			if (rejectsFencingToken(token)) {
+			if (rejectsFencingToken(fencingToken)) {
 				return new RunRequestOutcome(Kind.FENCED, now);
 			}
 			this.highestTerminatedAttempts.merge(task, attempt, Math::max);
@@ -268,27 +268,27 @@
 			return new RunRequestOutcome(Kind.DONE, now);
 		}
 
-		private PollOutcome poll(PollRequest order) {
-			if (rejectsFencingToken(order.fencingToken())) {
+		private PollOutcome poll(PollRequest request) {
+			if (rejectsFencingToken(request.fencingToken())) {
 				return new PollOutcome.Fenced();
 			}
-			order.leaseEndMillis().ifPresent(this::extendLease);
-			for (TerminatedTask end : List.copyOf(this.terminatedTasks)) {
-				if (end.sequence() <= order.acknowledgedSequence()) {
-					this.terminatedTasks.remove(end);
-					if (end.reason() == TerminationReason.DONE) {
-						SimulatedWorkers.this.acknowledgedTasks.add(end.task());
+			request.leaseEndMillis().ifPresent(this::extendLease);
+			for (TerminatedTask terminated : List.copyOf(this.terminatedTasks)) {
+				if (terminated.sequence() <= request.acknowledgedSequence()) {
+					this.terminatedTasks.remove(terminated);
+					if (terminated.reason() == TerminationReason.DONE) {
+						SimulatedWorkers.this.acknowledgedTasks.add(terminated.task());
 					}
 				}
 			}
-			List<RunningTask> now = new ArrayList<>();
-			this.runningAttempts.forEach((task, attempt) -> now.add(new RunningTask(task, attempt, "", 100, 0)));
-			return new PollOutcome.Report(SimulatedWorkers.this.time.millis(), now, this.terminatedTasks);
+			List<RunningTask> running = new ArrayList<>();
+			this.runningAttempts.forEach((task, attempt) -> running.add(new RunningTask(task, attempt, "", 100, 0)));
+			return new PollOutcome.Report(SimulatedWorkers.this.time.millis(), running, this.terminatedTasks);
 		}
 
 	}
 
-	/** One process's way to the workers. */
+	/** The client of one scheduler process. */
 	final class Client implements WorkerClient {
 
 		private final Set<String> disconnectedWorkers = new HashSet<>();
@@ -301,69 +301,70 @@
 			this.disconnectedWorkers.remove(worker);
 		}
 
-		private boolean isUnreachable(SimulatedWorker machine) {
-			return machine.crashed || this.disconnectedWorkers.contains(machine.info.id());
+		private boolean isUnreachable(SimulatedWorker worker) {
+			return worker.crashed || this.disconnectedWorkers.contains(worker.info.id());
 		}
 
-		private SimulatedWorker findWorker(WorkerInfo worker) {
-			return SimulatedWorkers.this.workers.get(worker.id());
+		private SimulatedWorker findWorker(WorkerInfo info) {
+			return SimulatedWorkers.this.workers.get(info.id());
 		}
 
 		@Override
-		public CompletableFuture<PollOutcome> poll(WorkerInfo worker, PollRequest order) {
-			CompletableFuture<PollOutcome> answer = new CompletableFuture<>();
-			SimulatedWorker machine = findWorker(worker);
-			if (isUnreachable(machine)) {
-				after(REQUEST_TIMEOUT_MILLIS, () -> answer.complete(new PollOutcome.NoAnswer("no answer")));
-				return answer;
+		public CompletableFuture<PollOutcome> poll(WorkerInfo info, PollRequest request) {
+			CompletableFuture<PollOutcome> response = new CompletableFuture<>();
+			SimulatedWorker worker = findWorker(info);
+			if (isUnreachable(worker)) {
+				after(REQUEST_TIMEOUT_MILLIS, () -> response.complete(new PollOutcome.NoAnswer("no answer")));
+				return response;
 			}
 			after(ONE_WAY_LATENCY_MILLIS, () -> {
-				PollOutcome first = machine.poll(order);
-				boolean waits = first instanceof PollOutcome.Report seen && seen.terminatedTasks().isEmpty()
-						&& !order.maxWait().isZero();
-				after(waits ? 40 : ONE_WAY_LATENCY_MILLIS, () -> answer
-					.complete(isUnreachable(machine) ? new PollOutcome.NoAnswer("cut") : machine.poll(order)));
+				PollOutcome immediate = worker.poll(request);
+				boolean isDelayed = immediate instanceof PollOutcome.Report report && report.terminatedTasks().isEmpty()
+						&& !request.maxWait().isZero();
+				after(isDelayed ? LONG_POLL_MILLIS : ONE_WAY_LATENCY_MILLIS, () -> response
+					.complete(isUnreachable(worker) ? new PollOutcome.NoAnswer("cut") : worker.poll(request)));
 			});
-			return answer;
+			return response;
 		}
 
 		@Override
-		public CompletableFuture<RunRequestOutcome> start(WorkerInfo worker, RunStartRequest order) {
-			SimulatedWorker machine = findWorker(worker);
-			CompletableFuture<RunRequestOutcome> answer = new CompletableFuture<>();
-			if (isUnreachable(machine)) {
-				after(REQUEST_TIMEOUT_MILLIS, () -> answer.complete(RunRequestOutcome.NO_ANSWER));
+		public CompletableFuture<RunRequestOutcome> start(WorkerInfo info, RunStartRequest request) {
+			SimulatedWorker worker = findWorker(info);
+			CompletableFuture<RunRequestOutcome> response = new CompletableFuture<>();
+			if (isUnreachable(worker)) {
+				after(REQUEST_TIMEOUT_MILLIS, () -> response.complete(RunRequestOutcome.NO_ANSWER));
 			}
-			else if (machine.startDelayMillis > 0) {
-				after(machine.startDelayMillis, () -> machine.start(order));
-				after(REQUEST_TIMEOUT_MILLIS, () -> answer.complete(RunRequestOutcome.NO_ANSWER));
+			else if (worker.startDelayMillis > 0) {
+				after(worker.startDelayMillis, () -> worker.start(request));
+				after(REQUEST_TIMEOUT_MILLIS, () -> response.complete(RunRequestOutcome.NO_ANSWER));
 			}
-			else if (machine.losesStartResponses) {
-				after(ONE_WAY_LATENCY_MILLIS, () -> machine.start(order));
-				after(REQUEST_TIMEOUT_MILLIS, () -> answer.complete(RunRequestOutcome.NO_ANSWER));
+			else if (worker.losesStartResponses) {
+				after(ONE_WAY_LATENCY_MILLIS, () -> worker.start(request));
+				after(REQUEST_TIMEOUT_MILLIS, () -> response.complete(RunRequestOutcome.NO_ANSWER));
 			}
 			else {
 				after(ONE_WAY_LATENCY_MILLIS, () -> {
-					RunRequestOutcome outcome = machine.start(order);
-					after(ONE_WAY_LATENCY_MILLIS, () -> answer.complete(outcome));
+					RunRequestOutcome outcome = worker.start(request);
+					after(ONE_WAY_LATENCY_MILLIS, () -> response.complete(outcome));
 				});
 			}
-			return answer;
+			return response;
 		}
 
 		@Override
-		public CompletableFuture<RunRequestOutcome> stop(WorkerInfo worker, TaskKey task, int attempt, long fence) {
-			SimulatedWorker machine = findWorker(worker);
-			CompletableFuture<RunRequestOutcome> answer = new CompletableFuture<>();
-			if (isUnreachable(machine)) {
-				after(REQUEST_TIMEOUT_MILLIS, () -> answer.complete(RunRequestOutcome.NO_ANSWER));
-				return answer;
+		public CompletableFuture<RunRequestOutcome> stop(WorkerInfo info, TaskKey task, int attempt,
+				long fencingToken) {
+			SimulatedWorker worker = findWorker(info);
+			CompletableFuture<RunRequestOutcome> response = new CompletableFuture<>();
+			if (isUnreachable(worker)) {
+				after(REQUEST_TIMEOUT_MILLIS, () -> response.complete(RunRequestOutcome.NO_ANSWER));
+				return response;
 			}
 			after(ONE_WAY_LATENCY_MILLIS, () -> {
-				RunRequestOutcome outcome = machine.stop(task, attempt, fence);
-				after(ONE_WAY_LATENCY_MILLIS, () -> answer.complete(outcome));
+				RunRequestOutcome outcome = worker.stop(task, attempt, fencingToken);
+				after(ONE_WAY_LATENCY_MILLIS, () -> response.complete(outcome));
 			});
-			return answer;
+			return response;
 		}
 
 		private void after(long millis, Runnable action) {
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/TakeOverWithUnreachableWorkersTests.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/TakeOverWithUnreachableWorkersTests.java
@@ -29,11 +29,11 @@
 	@Test
 	void aTaskOnAnUnreachableWorkerDelaysNoOtherTask() {
 		SimulatedCell.Scheduler first = this.cell.startOwnerAndStandby();
-		String holder = startLongTask();
-		first.workerClient.disconnect(holder);
+		String workerId = startLongTask();
+		first.workerClient.disconnect(workerId);
 		this.cell.time.runFor(1500);
 		submitTwoGangs();
-		this.cell.schedulers.get(1).workerClient.disconnect(holder);
+		this.cell.schedulers.get(1).workerClient.disconnect(workerId);
 		first.kill();
 		this.cell.time.runFor(2500);
 		this.cell.assertCompleted("a", "b");
@@ -45,11 +45,11 @@
 	@Test
 	void aTaskOnADrainingWorkerDelaysNoOtherTask() {
 		SimulatedCell.Scheduler first = this.cell.startOwnerAndStandby();
-		String holder = startLongTask();
-		this.cell.workers.drain(holder);
+		String workerId = startLongTask();
+		this.cell.workers.drain(workerId);
 		this.cell.time.runFor(1000);
 		submitTwoGangs();
-		this.cell.workers.crash(holder);
+		this.cell.workers.crash(workerId);
 		first.kill();
 		this.cell.time.runFor(2500);
 		this.cell.assertCompleted("a", "b");
@@ -149,8 +149,9 @@
 		return this.cell.workers.workerRunning(new TaskKey("long", 0, 0, 0));
 	}
 
-	private void runUntilOwnershipIsTaken(SimulatedCell.Scheduler next, long mostMillis) {
-		for (long passed = 0; passed < mostMillis && next.owner.isEmpty(); passed += TIME_STEP_MILLIS) {
+	private void runUntilOwnershipIsTaken(SimulatedCell.Scheduler next, long maxMillis) {
+		for (long elapsedMillis = 0; elapsedMillis < maxMillis
+				&& next.owner.isEmpty(); elapsedMillis += TIME_STEP_MILLIS) {
 			this.cell.time.runFor(TIME_STEP_MILLIS);
 		}
 	}
