--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/rack/AttemptEvents.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/rack/AttemptEvents.java
@@ -15,9 +15,10 @@
 import org.monsoonrelay.model.job.AttemptId;
 
 /**
- * Which attempt is on which worker, and the events that queue owners have not
- * acknowledged yet. Invariants: each event's attempt has its worker here; an end waits
- * for its acknowledgement whatever is heard after it. Not thread-safe: confined to the
+ * Worker assignments of attempts, and the attempt events that queue owners have not yet
+ * acknowledged. At most the latest event of each attempt is kept. Invariants: every
+ * attempt with an event is assigned to a worker; a reported end stays until it is
+ * acknowledged, and only another end may replace it. Not thread-safe: confined to the
  * control thread.
  */
 final class AttemptEvents {
@@ -29,24 +30,24 @@
 	private final Consumer<AttemptEvent> newEventListener;
 
 	/**
-	 * Begin without attempts.
-	 * @param judge told of each new event
+	 * Create an instance without attempts.
+	 * @param newEventListener called for each new event, but not for repetitions
 	 */
-	AttemptEvents(Consumer<AttemptEvent> judge) {
-		this.newEventListener = judge;
+	AttemptEvents(Consumer<AttemptEvent> newEventListener) {
+		this.newEventListener = newEventListener;
 	}
 
 	/**
-	 * The worker that an attempt is on.
+	 * Return the worker that an attempt is assigned to.
 	 * @param attempt the attempt
-	 * @return the worker, if one is known
+	 * @return the worker, or empty if the attempt is not assigned
 	 */
 	Optional<TrackedWorker> worker(AttemptId attempt) {
 		return Optional.ofNullable(this.workers.get(attempt));
 	}
 
-	void assign(AttemptId attempt, TrackedWorker slot) {
-		this.workers.put(attempt, slot);
+	void assign(AttemptId attempt, TrackedWorker tracked) {
+		this.workers.put(attempt, tracked);
 	}
 
 	void remove(AttemptId attempt) {
@@ -55,32 +56,34 @@
 	}
 
 	/**
-	 * Forget all that is on some workers.
-	 * @param gone the workers
+	 * Remove all attempts that are assigned to the given workers, with their events.
+	 * @param removedWorkers the workers
 	 */
-	void removeAllOn(Collection<TrackedWorker> gone) {
+	void removeAllOn(Collection<TrackedWorker> removedWorkers) {
 		Set<AttemptId> attempts = this.workers.entrySet()
 			.stream()
-			.filter((entry) -> gone.contains(entry.getValue()))
+			.filter((entry) -> removedWorkers.contains(entry.getValue()))
 			.map(Map.Entry::getKey)
 			.collect(Collectors.toSet());
 		attempts.forEach(this::remove);
 	}
 
 	/**
-	 * Take in what a worker's slot tells of an attempt.
+	 * Queue an event for the queue owner and assign the attempt to the worker. Ignored if
+	 * a reported end is still unacknowledged and the event is not an end, or if the event
+	 * only repeats an acknowledged {@link AttemptEventKind#RUNNING} event.
 	 * @param event the event
-	 * @param slot the slot
+	 * @param tracked the worker that the attempt is placed on
 	 */
-	void publish(AttemptEvent event, TrackedWorker slot) {
-		AttemptEvent present = this.unacknowledged.get(event.attempt());
-		if (present != null && present.kind().isReportedByWorker() && !event.kind().isReportedByWorker()) {
+	void publish(AttemptEvent event, TrackedWorker tracked) {
+		AttemptEvent pending = this.unacknowledged.get(event.attempt());
+		if (pending != null && pending.kind().isReportedByWorker() && !event.kind().isReportedByWorker()) {
 			return;
 		}
-		TrackedWorker before = this.workers.put(event.attempt(), slot);
-		boolean known = before == slot && event.kind() == AttemptEventKind.RUNNING
-				&& slot.isRunningAcknowledged(event.attempt());
-		if (!known || present != null) {
+		TrackedWorker previousWorker = this.workers.put(event.attempt(), tracked);
+		boolean alreadyAcknowledged = previousWorker == tracked && event.kind() == AttemptEventKind.RUNNING
+				&& tracked.isRunningAcknowledged(event.attempt());
+		if (!alreadyAcknowledged || pending != null) {
 			if (!event.equals(this.unacknowledged.put(event.attempt(), event))) {
 				this.newEventListener.accept(event);
 			}
@@ -88,29 +91,31 @@
 	}
 
 	/**
-	 * Post again that an attempt runs, unless something else of it waits.
+	 * Queue the {@link AttemptEventKind#RUNNING} event of an attempt again, unless
+	 * another event of the attempt is unacknowledged.
 	 * @param attempt the attempt
-	 * @param slot the worker that has announced that it runs
+	 * @param tracked the worker that runs the attempt
 	 */
-	void republishRunning(AttemptId attempt, TrackedWorker slot) {
-		this.unacknowledged.putIfAbsent(attempt, slot.createEvent(attempt, AttemptEventKind.RUNNING));
+	void republishRunning(AttemptId attempt, TrackedWorker tracked) {
+		this.unacknowledged.putIfAbsent(attempt, tracked.createEvent(attempt, AttemptEventKind.RUNNING));
 	}
 
 	/**
-	 * Post again all that is known of a team's attempts.
+	 * Queue the {@link AttemptEventKind#RUNNING} events of a team again, for all attempts
+	 * whose event had been acknowledged.
 	 * @param team the team
 	 */
 	void republishRunning(String team) {
-		this.workers.forEach((attempt, slot) -> {
-			if (slot.isRunningAcknowledged(attempt) && slot.team(attempt).equals(team)) {
-				republishRunning(attempt, slot);
+		this.workers.forEach((attempt, tracked) -> {
+			if (tracked.isRunningAcknowledged(attempt) && tracked.team(attempt).equals(team)) {
+				republishRunning(attempt, tracked);
 			}
 		});
 	}
 
 	/**
-	 * Events not yet acknowledged.
-	 * @return the events, by team
+	 * Return the unacknowledged events.
+	 * @return the events by team
 	 */
 	Map<String, List<AttemptEvent>> unacknowledgedByTeam() {
 		return this.unacknowledged.values()
@@ -119,7 +124,8 @@
 	}
 
 	/**
-	 * A queue owner has taken in an event. Without effect if another one has come since.
+	 * Handle the acknowledgement of an event by its queue owner. Ignored if a newer event
+	 * has replaced the acknowledged one.
 	 * @param event the event
 	 */
 	void acknowledge(AttemptEvent event) {
@@ -127,15 +133,15 @@
 			return;
 		}
 		this.unacknowledged.remove(event.attempt());
-		TrackedWorker slot = this.workers.get(event.attempt());
+		TrackedWorker tracked = this.workers.get(event.attempt());
 		if (event.kind() == AttemptEventKind.RUNNING) {
-			slot.markRunningAcknowledged(event.attempt());
+			tracked.markRunningAcknowledged(event.attempt());
 		}
 		else if (event.kind() != AttemptEventKind.LAPSED) {
 			this.workers.remove(event.attempt());
-			slot.addForget(event.attempt());
+			tracked.addForget(event.attempt());
 		}
-		else if (!slot.worker().attempts().contains(event.attempt())) {
+		else if (!tracked.worker().attempts().contains(event.attempt())) {
 			this.workers.remove(event.attempt());
 		}
 	}
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/rack/AttemptPhase.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/rack/AttemptPhase.java
@@ -1,20 +1,20 @@
 package org.monsoonrelay.logic.rack;
 
 /**
- * Phase of an attempt in a worker's own report.
+ * Phase of an attempt as reported by its worker.
  */
 public enum AttemptPhase {
 
-	/** Runs. */
+	/** The attempt is running. */
 	RUNNING,
 
-	/** Ended well. */
+	/** The attempt completed successfully. */
 	FINISHED,
 
-	/** Ended badly. */
+	/** The attempt completed with a failure. */
 	FAILED,
 
-	/** Was stopped, or refused before it started, and is never started again. */
+	/** The attempt was stopped or was refused before it started; it never starts. */
 	STOPPED
 
 }
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/rack/Rack.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/rack/Rack.java
@@ -13,8 +13,8 @@
 import org.monsoonrelay.model.worker.WorkerId;
 
 /**
- * One rack under one ownership: its workers. Not thread-safe: confined to the control
- * thread.
+ * Workers of a rack for the duration of one ownership epoch. Not thread-safe: confined to
+ * the control thread.
  */
 final class Rack {
 
@@ -39,9 +39,9 @@
 	}
 
 	/**
-	 * The workers that may be given work.
-	 * @param health tells which are on probation
-	 * @return the workers
+	 * Return the workers that can currently accept new attempts.
+	 * @param health used to exclude workers on probation
+	 * @return the usable workers
 	 */
 	List<Worker> usableWorkers(WorkerHealth health) {
 		return this.workers.values()
@@ -65,11 +65,11 @@
 		String domain = this.workers.values()
 			.stream()
 			.findFirst()
-			.map((slot) -> slot.host().failureDomain())
+			.map((tracked) -> tracked.host().failureDomain())
 			.orElse("");
 		boolean settled = this.workers.values()
 			.stream()
-			.allMatch((slot) -> slot.worker().isReported() || slot.isUnresponsive());
+			.allMatch((tracked) -> tracked.worker().isReported() || tracked.isUnresponsive());
 		return new RackSummary(this.name, domain, this.epoch, usable.size(), capacity, free, largest, settled);
 	}
 
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/rack/RackManager.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/rack/RackManager.java
@@ -27,12 +27,13 @@
 import org.monsoonrelay.model.worker.WorkerId;
 
 /**
- * Owner of racks: reserves room, starts and stops attempts on workers, renews leases and
- * keeps events for the queue owners until they are acknowledged. Invariants: no worker's
- * commitments exceed its capacity; a worker takes no new work before it has reported
- * under the present ownership; an ended attempt is forgotten at the worker only after its
- * queue owner has acknowledged the end. Not thread-safe: confined to the control thread,
- * which is also the executor for the workers' answers.
+ * Manages the racks that this process owns: reserves capacity, starts and stops attempts
+ * on workers, renews worker leases and keeps attempt events until the queue owners have
+ * acknowledged them. Invariants: the commitments of a worker do not exceed its capacity;
+ * a worker is given no new attempts before it has reported under the current ownership; a
+ * worker is told to forget a completed attempt only after the queue owner has
+ * acknowledged its end. Not thread-safe: confined to the control thread, on which the
+ * responses of workers are processed as well.
  */
 public final class RackManager {
 
@@ -54,25 +55,26 @@
 
 	private HostList hosts = new HostList(0, List.of());
 
-	public RackManager(WorkerAgents agents, Executor control, InstantSource clock, LongSupplier monotonicNanos,
-			Duration lease) {
+	public RackManager(WorkerAgents agents, Executor controlExecutor, InstantSource clock, LongSupplier monotonicNanos,
+			Duration leaseDuration) {
 		this.agents = agents;
-		this.controlExecutor = control;
+		this.controlExecutor = controlExecutor;
 		this.clock = clock;
 		this.monotonicNanos = monotonicNanos;
-		this.leaseDuration = lease;
+		this.leaseDuration = leaseDuration;
 		this.health = new WorkerHealth(monotonicNanos);
 		this.attemptEvents = new AttemptEvents(this.health::recordOutcome);
 	}
 
 	/**
-	 * Begin to own a rack. Its workers take no new work until they have reported.
+	 * Acquire the ownership of a rack. Its workers are given no new attempts until they
+	 * have reported. Ignored if the rack is already owned under this or a higher epoch.
 	 * @param rack the rack
-	 * @param epoch epoch of the ownership
+	 * @param epoch the ownership epoch
 	 */
 	public void acquireOwnership(String rack, long epoch) {
-		Rack present = this.racks.get(rack);
-		if (present == null || present.epoch() < epoch) {
+		Rack current = this.racks.get(rack);
+		if (current == null || current.epoch() < epoch) {
 			releaseOwnership(rack);
 			this.racks.put(rack, new Rack(rack, epoch));
 			addListedWorkers();
@@ -80,7 +82,7 @@
 	}
 
 	/**
-	 * Cease to own a rack. What runs there goes on under its next owner.
+	 * Release the ownership of a rack. Running attempts continue under the next owner.
 	 * @param rack the rack
 	 */
 	public void releaseOwnership(String rack) {
@@ -91,9 +93,8 @@
 	}
 
 	/**
-	 * Take in a reading of the host list. A reading older than one seen before is left
-	 * out.
-	 * @param list the reading
+	 * Apply a snapshot of the host list. A snapshot older than the latest one is ignored.
+	 * @param list the snapshot
 	 */
 	public void update(HostList list) {
 		if (list.version() < this.hosts.version()) {
@@ -105,9 +106,9 @@
 		for (Rack rack : this.racks.values()) {
 			rack.workers()
 				.stream()
-				.filter((slot) -> !listed.contains(slot.host().name()))
+				.filter((tracked) -> !listed.contains(tracked.host().name()))
 				.toList()
-				.forEach((slot) -> removeWorker(rack, slot));
+				.forEach((tracked) -> removeWorker(rack, tracked));
 		}
 	}
 
@@ -120,15 +121,16 @@
 		}
 	}
 
-	private void removeWorker(Rack rack, TrackedWorker slot) {
-		rack.removeWorker(slot.worker().id());
-		slot.createHostRemovedEvents().forEach((event) -> this.attemptEvents.publish(event, slot));
+	private void removeWorker(Rack rack, TrackedWorker tracked) {
+		rack.removeWorker(tracked.worker().id());
+		tracked.createHostRemovedEvents().forEach((event) -> this.attemptEvents.publish(event, tracked));
 	}
 
 	/**
-	 * Reserve room for as many of the attempts as fit.
+	 * Reserve capacity for as many of the requested attempts as fit.
 	 * @param request the request
-	 * @return the reservations; attempts without one hold nothing
+	 * @return the reservations that were made; no capacity is reserved for the other
+	 * attempts
 	 */
 	public List<Reservation> reserve(ReservationRequest request) {
 		Rack rack = this.racks.get(request.rack());
@@ -143,18 +145,18 @@
 	}
 
 	private Optional<Reservation> reserveOne(Rack rack, ReservationRequest request, AttemptId attempt) {
-		Optional<TrackedWorker> held = this.attemptEvents.worker(attempt);
-		if (held.isPresent()) {
-			Worker worker = held.get().worker();
+		Optional<TrackedWorker> assigned = this.attemptEvents.worker(attempt);
+		if (assigned.isPresent()) {
+			Worker worker = assigned.get().worker();
 			return Optional.of(new Reservation(attempt, worker.id(), worker.incarnation()));
 		}
 		Optional<Worker> chosen = this.health.chooseWorker(rack.usableWorkers(this.health), request, attempt.job());
 		if (chosen.isEmpty() || !chosen.get().reserve(attempt, request.size(), request.deadline())) {
 			return Optional.empty();
 		}
-		TrackedWorker slot = rack.worker(chosen.get().id());
-		slot.setTeam(attempt, request.team());
-		this.attemptEvents.assign(attempt, slot);
+		TrackedWorker tracked = rack.worker(chosen.get().id());
+		tracked.setTeam(attempt, request.team());
+		this.attemptEvents.assign(attempt, tracked);
 		if (request.startAtOnce()) {
 			start(new StartTask(attempt, request.team(), request.size(), request.runMillis()));
 		}
@@ -163,28 +165,27 @@
 
 	/**
 	 * Start a reserved attempt. Idempotent.
-	 * @param start the order
+	 * @param start the attempt to start
 	 * @return {@code true} if the reservation was still held
 	 */
 	public boolean start(StartTask start) {
-		Optional<TrackedWorker> granted = this.attemptEvents.worker(start.attempt())
-			.filter((slot) -> slot.worker().grant(start.attempt()));
-		granted.ifPresent((slot) -> slot.addStart(start));
-		return granted.isPresent();
+		Optional<TrackedWorker> startable = this.attemptEvents.worker(start.attempt())
+			.filter((tracked) -> tracked.worker().grant(start.attempt()));
+		startable.ifPresent((tracked) -> tracked.addStart(start));
+		return startable.isPresent();
 	}
 
 	/**
-	 * Stop an attempt, or make sure that it never starts. The outcome follows as an
-	 * event.
+	 * Stop an attempt, or prevent it from starting. The outcome is reported as an event.
 	 * @param attempt the attempt
-	 * @param worker the worker it was placed on
-	 * @param team the team it counts against
+	 * @param worker the worker that the attempt was placed on
+	 * @param team the team whose quota the attempt counts against
 	 */
 	public void stop(AttemptId attempt, WorkerId worker, String team) {
-		this.attemptEvents.worker(attempt).or(() -> findWorker(worker)).ifPresent((slot) -> {
-			slot.setTeam(attempt, team);
-			this.attemptEvents.assign(attempt, slot);
-			slot.addStop(attempt);
+		this.attemptEvents.worker(attempt).or(() -> findWorker(worker)).ifPresent((tracked) -> {
+			tracked.setTeam(attempt, team);
+			this.attemptEvents.assign(attempt, tracked);
+			tracked.addStop(attempt);
 		});
 	}
 
@@ -193,55 +194,55 @@
 	}
 
 	/**
-	 * Give back reservations that were never started. Idempotent.
+	 * Release reservations whose attempts were not started. Idempotent.
 	 * @param attempts the attempts
 	 */
 	public void release(Collection<AttemptId> attempts) {
 		for (AttemptId attempt : attempts) {
-			this.attemptEvents.worker(attempt).ifPresent((slot) -> {
-				slot.worker().release(attempt);
+			this.attemptEvents.worker(attempt).ifPresent((tracked) -> {
+				tracked.worker().release(attempt);
 				this.attemptEvents.remove(attempt);
 			});
 		}
 	}
 
 	/**
-	 * Find out what became of an attempt that is in doubt. The outcome follows as an
-	 * event.
+	 * Determine the state of an attempt whose state is unknown to its queue owner. The
+	 * outcome is reported as an event.
 	 * @param attempt the attempt
-	 * @param worker the worker it was placed on
-	 * @param incarnation the worker's incarnation then
-	 * @param team the team it counts against
+	 * @param worker the worker that the attempt was placed on
+	 * @param incarnation the worker's incarnation when the attempt was placed
+	 * @param team the team whose quota the attempt counts against
 	 */
 	public void resolve(AttemptId attempt, WorkerId worker, String incarnation, String team) {
-		findWorker(worker).ifPresent((slot) -> resolve(attempt, slot, incarnation, team));
+		findWorker(worker).ifPresent((tracked) -> resolve(attempt, tracked, incarnation, team));
 	}
 
-	private void resolve(AttemptId attempt, TrackedWorker slot, String incarnation, String team) {
-		slot.setTeam(attempt, team);
-		if (slot.isUnresponsive()) {
-			this.attemptEvents.publish(slot.createEvent(attempt, AttemptEventKind.LAPSED), slot);
+	private void resolve(AttemptId attempt, TrackedWorker tracked, String incarnation, String team) {
+		tracked.setTeam(attempt, team);
+		if (tracked.isUnresponsive()) {
+			this.attemptEvents.publish(tracked.createEvent(attempt, AttemptEventKind.LAPSED), tracked);
 			return;
 		}
-		if (!slot.worker().isReported()) {
+		if (!tracked.worker().isReported()) {
 			return;
 		}
-		if (slot.worker().attempts().contains(attempt)) {
-			if (slot.isRunningAcknowledged(attempt)) {
-				this.attemptEvents.republishRunning(attempt, slot);
+		if (tracked.worker().attempts().contains(attempt)) {
+			if (tracked.isRunningAcknowledged(attempt)) {
+				this.attemptEvents.republishRunning(attempt, tracked);
 			}
 		}
-		else if (!slot.worker().incarnation().equals(incarnation)) {
-			this.attemptEvents.publish(slot.createEvent(attempt, AttemptEventKind.GONE), slot);
+		else if (!tracked.worker().incarnation().equals(incarnation)) {
+			this.attemptEvents.publish(tracked.createEvent(attempt, AttemptEventKind.GONE), tracked);
 		}
 		else {
-			this.attemptEvents.assign(attempt, slot);
-			slot.addStop(attempt);
+			this.attemptEvents.assign(attempt, tracked);
+			tracked.addStop(attempt);
 		}
 	}
 
 	/**
-	 * Post again all that is known of a team's attempts, for a new queue owner.
+	 * Publish the running attempts of a team again, for a new queue owner.
 	 * @param team the team
 	 */
 	public void republishRunning(String team) {
@@ -249,62 +250,68 @@
 	}
 
 	/**
-	 * Send a heartbeat to every worker, and release reservations that have lapsed.
+	 * Send a heartbeat to every worker, release expired reservations and publish events
+	 * for workers whose lease has expired.
 	 */
 	public void sendHeartbeats() {
 		for (Rack rack : this.racks.values()) {
-			for (TrackedWorker slot : rack.workers()) {
-				slot.worker().lapse(this.clock.instant()).forEach(this.attemptEvents::remove);
-				slot.checkLease(this.monotonicNanos.getAsLong(), this.leaseDuration.toNanos())
-					.forEach((event) -> this.attemptEvents.publish(event, slot));
-				sendCommand(rack, slot);
+			for (TrackedWorker tracked : rack.workers()) {
+				tracked.worker().lapse(this.clock.instant()).forEach(this.attemptEvents::remove);
+				tracked.checkLease(this.monotonicNanos.getAsLong(), this.leaseDuration.toNanos())
+					.forEach((event) -> this.attemptEvents.publish(event, tracked));
+				sendCommand(rack, tracked);
 			}
 		}
 	}
 
 	/**
-	 * Send the orders that cannot wait for the next heartbeat.
+	 * Send pending starts and stops to their workers without waiting for the next
+	 * heartbeat.
 	 */
 	public void sendUrgentCommands() {
 		for (Rack rack : this.racks.values()) {
-			rack.workers().stream().filter(TrackedWorker::isCommandUrgent).forEach((slot) -> sendCommand(rack, slot));
+			rack.workers()
+				.stream()
+				.filter(TrackedWorker::isCommandUrgent)
+				.forEach((tracked) -> sendCommand(rack, tracked));
 		}
 	}
 
-	private void sendCommand(Rack rack, TrackedWorker slot) {
-		if (slot.isCommandInFlight()) {
+	private void sendCommand(Rack rack, TrackedWorker tracked) {
+		if (tracked.isCommandInFlight()) {
 			return;
 		}
-		slot.setCommandInFlight(true);
-		WorkerCommand command = slot.createCommand(rack.epoch(), this.leaseDuration.toMillis());
-		this.agents.send(slot.host(), command).whenCompleteAsync((report, failure) -> {
-			slot.setCommandInFlight(false);
+		tracked.setCommandInFlight(true);
+		WorkerCommand command = tracked.createCommand(rack.epoch(), this.leaseDuration.toMillis());
+		this.agents.send(tracked.host(), command).whenCompleteAsync((report, failure) -> {
+			tracked.setCommandInFlight(false);
 			if (report != null && this.racks.get(rack.name()) == rack) {
-				handleReport(rack, slot, command, report);
+				handleReport(rack, tracked, command, report);
 			}
 		}, this.controlExecutor);
 	}
 
-	private void handleReport(Rack rack, TrackedWorker slot, WorkerCommand command, WorkerReport report) {
+	private void handleReport(Rack rack, TrackedWorker tracked, WorkerCommand command, WorkerReport report) {
 		if (!report.accepted()) {
 			releaseOwnership(rack.name());
 			return;
 		}
-		for (AttemptEvent event : slot.applyReport(report, command, this.monotonicNanos.getAsLong())) {
-			this.attemptEvents.publish(event, slot);
+		for (AttemptEvent event : tracked.applyReport(report, command, this.monotonicNanos.getAsLong())) {
+			this.attemptEvents.publish(event, tracked);
 		}
 	}
 
 	/**
-	 * Events not yet acknowledged, by team.
-	 * @return the events
+	 * Return the events that have not been acknowledged.
+	 * @return the events by team
 	 */
 	public Map<String, List<AttemptEvent>> unacknowledgedEvents() {
 		return this.attemptEvents.unacknowledgedByTeam();
 	}
 
 	/**
-	 * A queue owner has taken in an event and, where it has to last, made it durable.
+	 * Handle the acknowledgement of an event by its queue owner, which has processed the
+	 * event and, if required, stored its effects durably.
 	 * @param event the event
 	 */
 	public void acknowledge(AttemptEvent event) {
@@ -312,7 +319,7 @@
 	}
 
 	/**
-	 * What queue owners sample.
+	 * Return the summaries that queue owners use to select racks.
 	 * @return a summary of each owned rack
 	 */
 	public List<RackSummary> summaries() {
@@ -320,8 +327,8 @@
 	}
 
 	/**
-	 * The workers of the owned racks.
-	 * @return the workers; they belong to the control thread
+	 * Return the workers of the owned racks.
+	 * @return the workers, to be used on the control thread only
 	 */
 	public List<Worker> workers() {
 		return this.racks.values()
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/rack/StartTask.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/rack/StartTask.java
@@ -4,12 +4,13 @@
 import org.monsoonrelay.model.job.AttemptId;
 
 /**
- * Order to start an attempt. Idempotent by the attempt's identity. Immutable.
+ * Command to start an attempt. Idempotent: a worker starts an attempt identifier at most
+ * once. Immutable.
  *
- * @param attempt the attempt
- * @param team the team it counts against
- * @param size what it holds
- * @param runMillis declared run time in milliseconds, 0 if it has no end
+ * @param attempt the attempt identifier
+ * @param team the team whose quota the attempt counts against
+ * @param size the resources allocated to the attempt
+ * @param runMillis declared run time in milliseconds, 0 if it is unlimited
  */
 public record StartTask(AttemptId attempt, String team, Resources size, long runMillis) {
 
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/rack/TrackedWorker.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/rack/TrackedWorker.java
@@ -18,8 +18,9 @@
 import org.monsoonrelay.model.worker.WorkerId;
 
 /**
- * One worker as its rack's owner sees it: the ledger, the orders not yet confirmed and
- * the time of its last word. Not thread-safe: confined to the control thread.
+ * State that a rack owner keeps for a worker: its commitments, the commands that the
+ * worker has not confirmed and the time of its last report. Not thread-safe: confined to
+ * the control thread.
  */
 final class TrackedWorker {
 
@@ -77,10 +78,10 @@
 	}
 
 	/**
-	 * Take in a report and tell what it changes.
+	 * Apply a report and return the resulting events.
 	 * @param report the worker's report
-	 * @param sent the command it answers
-	 * @param nowNanos monotonic time
+	 * @param sent the command that the report responds to
+	 * @param nowNanos the current monotonic time in nanoseconds
 	 * @return events for the queue owners
 	 */
 	List<AttemptEvent> applyReport(WorkerReport report, WorkerCommand sent, long nowNanos) {
@@ -132,10 +133,11 @@
 	}
 
 	/**
-	 * Mark the worker silent if its last word is older than the lease.
-	 * @param nowNanos monotonic time
-	 * @param leaseNanos the lease
-	 * @return events for the queue owners, once for each time it falls silent
+	 * Mark the worker as unresponsive if its last report is older than the lease.
+	 * @param nowNanos the current monotonic time in nanoseconds
+	 * @param leaseNanos the lease duration in nanoseconds
+	 * @return events for the queue owners, empty unless the worker has just become
+	 * unresponsive
 	 */
 	List<AttemptEvent> checkLease(long nowNanos, long leaseNanos) {
 		if (this.unresponsive || nowNanos - this.lastReportNanos < leaseNanos) {
@@ -151,7 +153,8 @@
 	}
 
 	/**
-	 * The host is gone, and with it all that ran or was to be stopped there.
+	 * Create the events for the removal of the host: all attempts that were placed there
+	 * or had a pending stop are gone.
 	 * @return events for the queue owners
 	 */
 	List<AttemptEvent> createHostRemovedEvents() {
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/rack/WorkerAgents.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/rack/WorkerAgents.java
@@ -5,16 +5,16 @@
 import org.monsoonrelay.model.host.Host;
 
 /**
- * Port to the workers. Implementations are safe for use by several threads.
+ * Client for the agents that run on worker hosts. Implementations are thread-safe.
  */
 public interface WorkerAgents {
 
 	/**
-	 * Send a command.
-	 * @param worker the worker
+	 * Send a command to a worker.
+	 * @param worker the host of the worker
 	 * @param command the command
-	 * @return the worker's report; fails if no answer came, in which case the command may
-	 * have taken effect
+	 * @return the worker's report; completes exceptionally if no response arrived, in
+	 * which case the command may have taken effect
 	 */
 	CompletableFuture<WorkerReport> send(Host worker, WorkerCommand command);
 
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/rack/WorkerCommand.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/rack/WorkerCommand.java
@@ -5,18 +5,19 @@
 import org.monsoonrelay.model.job.AttemptId;
 
 /**
- * What a rack's owner sends to a worker: renews the lease and carries orders. Every part
- * is idempotent, so that a command whose answer was lost is sent again. Immutable.
+ * Command from a rack owner to a worker. It serves as the heartbeat that renews the
+ * worker's lease. Every part is idempotent, so a command whose response was lost can be
+ * sent again. Immutable.
  *
- * @param epoch epoch of the rack's ownership; a worker refuses one below the highest it
- * has seen
- * @param leaseMillis how long the lease lasts, in milliseconds
- * @param incarnation the worker's incarnation that the starts are for, empty before its
- * first report; a worker of another incarnation starts nothing, because a command that
- * arrives late may name attempts that have been placed elsewhere since
+ * @param epoch ownership epoch of the rack; a worker rejects an epoch below the highest
+ * one it has received
+ * @param leaseMillis lease duration in milliseconds
+ * @param incarnation the worker incarnation that the starts are intended for, empty
+ * before the first report; a worker of another incarnation ignores the starts, because a
+ * delayed command may name attempts that have since been placed on other workers
  * @param starts attempts to start
- * @param stops attempts to stop, or never to start
- * @param forget ended attempts that need not be reported any more
+ * @param stops attempts to stop, or to prevent from starting
+ * @param forget completed attempts that the worker no longer has to report
  */
 public record WorkerCommand(long epoch, long leaseMillis, String incarnation, List<StartTask> starts,
 		List<AttemptId> stops, List<AttemptId> forget) {
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/rack/WorkerHealth.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/rack/WorkerHealth.java
@@ -22,12 +22,12 @@
 import org.monsoonrelay.model.workload.WorkloadKind;
 
 /**
- * Tells workers that fail what others run from jobs that fail everywhere. A worker goes
- * on probation after several failures in a row, unless they are the job's fault: a job
- * that failed on several workers and has not run well on any. A worker on probation gets
- * one probe task at a time, with growing pauses, until one ends well. Failures of one job
- * alone count only once it has run well elsewhere. Not thread-safe: confined to the
- * control thread.
+ * Distinguishes faulty workers from faulty jobs by the outcomes of attempts. A worker is
+ * put on probation after several consecutive failures. Failures of a job that failed on
+ * several workers and never finished are attributed to the job and do not count. If all
+ * counted failures belong to one job, the job must have finished before on some worker. A
+ * worker on probation is given one probe task at a time, with increasing delays, until a
+ * task finishes there. Not thread-safe: confined to the control thread.
  */
 final class WorkerHealth {
 
@@ -59,8 +59,9 @@
 	}
 
 	/**
-	 * Take in how an attempt ended. Each end is to be told once.
-	 * @param event what its worker told
+	 * Record the outcome of an attempt. Events of other kinds are ignored. Each outcome
+	 * must be recorded once only.
+	 * @param event the event
 	 */
 	void recordOutcome(AttemptEvent event) {
 		if (event.kind() == AttemptEventKind.FAILED) {
@@ -72,27 +73,28 @@
 	}
 
 	/**
-	 * Choose a worker: for a repeatable task one that is due a probe, otherwise a sound
-	 * one on which the job has not failed, as long as there is such a one.
-	 * @param usable the workers that may be given work
-	 * @param request what is asked for
-	 * @param job the job
-	 * @return the worker, or empty if none has room
+	 * Choose a worker for an attempt. A batch task that starts at once goes to a worker
+	 * with a due probe if there is one. All other attempts go to a worker that is not on
+	 * probation, preferably one on which the job has not failed.
+	 * @param usable the workers that can accept new attempts
+	 * @param request the reservation request
+	 * @param job the job of the attempt
+	 * @return the worker, or empty if none has enough free capacity
 	 */
 	Optional<Worker> chooseWorker(List<Worker> usable, ReservationRequest request, JobId job) {
 		if (request.startAtOnce() && request.kind() == WorkloadKind.BATCH) {
-			Optional<Worker> probed = usable.stream()
+			Optional<Worker> probeTarget = usable.stream()
 				.filter((worker) -> isProbeDue(worker.id()) && worker.accepts(request.size()))
 				.findFirst();
-			if (probed.isPresent()) {
-				scheduleNextProbe(probed.get().id());
-				return probed;
+			if (probeTarget.isPresent()) {
+				scheduleNextProbe(probeTarget.get().id());
+				return probeTarget;
 			}
 		}
 		PlacementPolicy policy = (request.kind() == WorkloadKind.SERVICE) ? new SpreadPolicy() : new PackingPolicy();
-		List<Worker> sound = usable.stream().filter((worker) -> !isOnProbation(worker.id())).toList();
-		List<Worker> untried = sound.stream().filter((worker) -> !hasFailedOn(job, worker.id())).toList();
-		return policy.choose(job, request.size(), untried.isEmpty() ? sound : untried);
+		List<Worker> healthy = usable.stream().filter((worker) -> !isOnProbation(worker.id())).toList();
+		List<Worker> preferred = healthy.stream().filter((worker) -> !hasFailedOn(job, worker.id())).toList();
+		return policy.choose(job, request.size(), preferred.isEmpty() ? healthy : preferred);
 	}
 
 	private void recordFailure(WorkerId worker, JobId job) {
@@ -110,26 +112,26 @@
 	}
 
 	private boolean isOnProbation(WorkerId worker) {
-		WorkerFailures own = this.failuresByWorker.get(worker);
-		if (own == null) {
+		WorkerFailures workerFailures = this.failuresByWorker.get(worker);
+		if (workerFailures == null) {
 			return false;
 		}
-		int counted = 0;
-		boolean jobsAreSound = false;
-		Set<JobId> jobs = new HashSet<>();
-		for (Map.Entry<JobId, Integer> entry : own.countByJob.entrySet()) {
+		int failureCount = 0;
+		boolean anyJobHasFinished = false;
+		Set<JobId> failedJobs = new HashSet<>();
+		for (Map.Entry<JobId, Integer> entry : workerFailures.countByJob.entrySet()) {
 			JobHistory history = this.historyByJob.getOrDefault(entry.getKey(), new JobHistory());
 			if (!history.isAtFault()) {
-				counted += entry.getValue();
-				jobs.add(entry.getKey());
-				jobsAreSound |= history.hasFinished;
+				failureCount += entry.getValue();
+				failedJobs.add(entry.getKey());
+				anyJobHasFinished |= history.hasFinished;
 			}
 		}
-		return counted >= PROBATION_FAILURE_THRESHOLD && (jobsAreSound || jobs.size() > 1);
+		return failureCount >= PROBATION_FAILURE_THRESHOLD && (anyJobHasFinished || failedJobs.size() > 1);
 	}
 
 	/**
-	 * Tell whether a worker may be given work now.
+	 * Return whether a worker can currently be given new attempts.
 	 * @param worker the worker
 	 * @return {@code false} if it is on probation and no probe is due
 	 */
@@ -143,10 +145,10 @@
 	}
 
 	private void scheduleNextProbe(WorkerId worker) {
-		WorkerFailures own = this.failuresByWorker.get(worker);
-		own.nextProbeNanos = this.monotonicNanos.getAsLong()
-				+ (INITIAL_PROBE_DELAY_NANOS << Math.min(own.probeCount, MAXIMUM_PROBE_DELAY_DOUBLINGS));
-		own.probeCount++;
+		WorkerFailures workerFailures = this.failuresByWorker.get(worker);
+		workerFailures.nextProbeNanos = this.monotonicNanos.getAsLong()
+				+ (INITIAL_PROBE_DELAY_NANOS << Math.min(workerFailures.probeCount, MAXIMUM_PROBE_DELAY_DOUBLINGS));
+		workerFailures.probeCount++;
 	}
 
 	private boolean hasFailedOn(JobId job, WorkerId worker) {
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/rack/WorkerReport.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/rack/WorkerReport.java
@@ -3,12 +3,14 @@
 import java.util.List;
 
 /**
- * A worker's own word, given in answer to each heartbeat and command. Immutable.
+ * State of a worker, returned in response to each command. Immutable.
  *
- * @param incarnation identity of this start of the worker
- * @param highestEpoch the highest epoch it has seen
- * @param accepted whether the epoch of the call was high enough
- * @param attempts all attempts it knows
+ * @param incarnation identifier of the worker's current incarnation, which changes with
+ * each restart
+ * @param highestEpoch the highest ownership epoch that the worker has received
+ * @param accepted whether the command was accepted; {@code false} if its epoch was below
+ * the highest one received
+ * @param attempts all attempts known to the worker
  */
 public record WorkerReport(String incarnation, long highestEpoch, boolean accepted, List<ReportedAttempt> attempts) {
 
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/rack/package-info.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/rack/package-info.java
@@ -1,4 +1,5 @@
 /**
- * The rack owner: ledger of workers, their leases and the attempts on them.
+ * Management of owned racks: the committed capacity of their workers, the worker leases
+ * and the attempts placed on the workers.
  */
 package org.monsoonrelay.logic.rack;
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/rack/ProbationTests.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/rack/ProbationTests.java
@@ -17,7 +17,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Workers that fail everything they start, and jobs that fail everywhere.
+ * Tests that workers which fail every attempt are put on probation, and that jobs which
+ * fail on every worker put no worker on probation.
  */
 class ProbationTests {
 
@@ -38,7 +39,7 @@
 		this.scheduler.queues().activate(CellData.TEAM);
 	}
 
-	private void finishAndGoOn(int seconds) {
+	private void finishAttemptsFor(int seconds) {
 		for (int second = 0; second < seconds; second++) {
 			this.scheduler.second();
 			this.workers.finishAll();
@@ -56,24 +57,24 @@
 	}
 
 	@Test
-	void aWorkerThatFailsEverythingIsLeftAloneButForProbes() {
+	void aWorkerThatFailsEveryAttemptReceivesOnlyProbes() {
 		this.workers.worker("w1").setFailsAll(true);
 		declare(CellData.runs(300, false).toArray(new RunDeclaration[0]));
-		finishAndGoOn(60);
+		finishAttemptsFor(60);
 		assertThat(counts("run-299")).containsOnlyKeys(TaskState.FINISHED);
 		assertThat(this.workers.runs()).hasSize(300);
 		assertThat(this.workers.worker("w1").failures()).isLessThanOrEqualTo(20);
 	}
 
 	@Test
-	void aWorkerThatHasRecoveredIsReleasedByItsProbe() {
+	void aRecoveredWorkerLeavesProbationAfterASuccessfulProbe() {
 		this.workers.worker("w1").setFailsAll(true);
 		declare(CellData.run("roster", 60, false), CellData.run("points", 60, false),
 				CellData.run("later", 600, false));
-		finishAndGoOn(5);
+		finishAttemptsFor(5);
 		int failures = this.workers.worker("w1").failures();
 		this.workers.worker("w1").setFailsAll(false);
-		finishAndGoOn(25);
+		finishAttemptsFor(25);
 		this.scheduler.second();
 		assertThat(this.workers.worker("w1").failures()).isEqualTo(failures);
 		assertThat(this.scheduler.racks().summaries().get(0).workers()).isEqualTo(4);
@@ -84,7 +85,7 @@
 		this.workers.failJobs("broken-.*");
 		declare(CellData.run("broken-a", 6, false), CellData.run("broken-b", 6, false),
 				CellData.run("roster", 20, false));
-		finishAndGoOn(30);
+		finishAttemptsFor(30);
 		assertThat(counts("broken-a")).containsOnlyKeys(TaskState.FAILED);
 		assertThat(counts("roster")).containsOnlyKeys(TaskState.FINISHED);
 		List<Integer> usable = this.scheduler.racks().summaries().stream().map((rack) -> rack.workers()).toList();
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/rack/RackManagerTests.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/rack/RackManagerTests.java
@@ -22,11 +22,12 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Faults between a rack's owner and its workers.
+ * Tests of the rack owner when workers become unresponsive, restart, lose responses or
+ * receive commands late, and when the ownership changes.
  */
 class RackManagerTests {
 
-	private static final AttemptId FIRST = CellData.attempt("wages", 1);
+	private static final AttemptId ATTEMPT = CellData.attempt("wages", 1);
 
 	private static final WorkerId WORKER = new WorkerId("w1");
 
@@ -52,26 +53,26 @@
 	private void takeOver(long epoch) {
 		this.racks.update(CellData.hosts(1, CellData.worker("w1", "r1")));
 		this.racks.acquireOwnership("r1", epoch);
-		heartbeat();
+		sendHeartbeats();
 	}
 
-	private void heartbeat() {
+	private void sendHeartbeats() {
 		this.racks.sendHeartbeats();
 		this.control.drain();
 	}
 
-	private List<Reservation> reserve(AttemptId attempt, boolean atOnce) {
+	private List<Reservation> reserve(AttemptId attempt, boolean startAtOnce) {
 		return this.racks.reserve(new ReservationRequest("r1", CellData.TEAM, WorkloadKind.BATCH, CellData.TASK, 0,
-				List.of(attempt), atOnce, this.time.instant().plusSeconds(5)));
+				List.of(attempt), startAtOnce, this.time.instant().plusSeconds(5)));
 	}
 
-	private void run(AttemptId attempt) {
+	private void startAttempt(AttemptId attempt) {
 		reserve(attempt, true);
 		this.racks.sendUrgentCommands();
 		this.control.drain();
 	}
 
-	private List<AttemptEventKind> events() {
+	private List<AttemptEventKind> eventKinds() {
 		return this.racks.unacknowledgedEvents()
 			.values()
 			.stream()
@@ -89,157 +90,157 @@
 			.forEach(this.racks::acknowledge);
 	}
 
-	private void pass(int seconds) {
+	private void advanceSeconds(int seconds) {
 		this.time.advance(Duration.ofSeconds(seconds));
-		heartbeat();
+		sendHeartbeats();
 	}
 
 	@Nested
-	class ASilentWorker {
+	class AnUnresponsiveWorker {
 
 		@Test
-		void whoseReservationLapsesLeavesNoEventBehind() {
+		void producesNoEventForAnExpiredReservation() {
 			RackManagerTests.this.worker.setUnreachable(true);
-			reserve(FIRST, false);
-			pass(3);
-			pass(3);
-			assertThat(events()).isEmpty();
+			reserve(ATTEMPT, false);
+			advanceSeconds(3);
+			advanceSeconds(3);
+			assertThat(eventKinds()).isEmpty();
 		}
 
 		@Test
-		void isToldToAQueueOwnerThatAsksAgain() {
-			run(FIRST);
+		void isReportedToAQueueOwnerThatResolvesItsAttempt() {
+			startAttempt(ATTEMPT);
 			RackManagerTests.this.worker.setUnreachable(true);
 			RackManagerTests.this.racks = newOwner();
 			takeOver(2);
-			pass(3);
-			assertThat(events()).isEmpty();
-			RackManagerTests.this.racks.resolve(FIRST, WORKER, "incarnation-1", CellData.TEAM);
-			assertThat(events()).containsExactly(AttemptEventKind.LAPSED);
+			advanceSeconds(3);
+			assertThat(eventKinds()).isEmpty();
+			RackManagerTests.this.racks.resolve(ATTEMPT, WORKER, "incarnation-1", CellData.TEAM);
+			assertThat(eventKinds()).containsExactly(AttemptEventKind.LAPSED);
 		}
 
 		@Test
-		void thatComesBackTellsThatItsTaskRanOn() {
-			run(FIRST);
+		void reportsItsRunningAttemptOnceItIsReachableAgain() {
+			startAttempt(ATTEMPT);
 			acknowledgeAll();
 			RackManagerTests.this.worker.setUnreachable(true);
-			pass(3);
-			assertThat(events()).containsExactly(AttemptEventKind.LAPSED);
+			advanceSeconds(3);
+			assertThat(eventKinds()).containsExactly(AttemptEventKind.LAPSED);
 			RackManagerTests.this.worker.setUnreachable(false);
-			pass(1);
-			assertThat(events()).containsExactly(AttemptEventKind.RUNNING);
+			advanceSeconds(1);
+			assertThat(eventKinds()).containsExactly(AttemptEventKind.RUNNING);
 		}
 
 		@Test
-		void thatLeavesTheListEndsWhatItWasAskedToStop() {
-			RackManagerTests.this.racks.resolve(FIRST, WORKER, "incarnation-1", CellData.TEAM);
+		void completesItsPendingStopsWhenItsHostIsRemoved() {
+			RackManagerTests.this.racks.resolve(ATTEMPT, WORKER, "incarnation-1", CellData.TEAM);
 			RackManagerTests.this.worker.setUnreachable(true);
 			RackManagerTests.this.racks.update(CellData.hosts(2));
-			assertThat(events()).containsExactly(AttemptEventKind.GONE);
+			assertThat(eventKinds()).containsExactly(AttemptEventKind.GONE);
 		}
 
 		@Test
-		void isNotTakenForGoneByAnOlderList() {
-			run(FIRST);
+		void isNotRemovedByAnOlderHostList() {
+			startAttempt(ATTEMPT);
 			acknowledgeAll();
 			RackManagerTests.this.racks.update(CellData.hosts(0));
-			assertThat(events()).isEmpty();
+			assertThat(eventKinds()).isEmpty();
 		}
 
 	}
 
 	@Nested
-	class AnEndNotYetAcknowledged {
+	class AnUnacknowledgedEnd {
 
 		@BeforeEach
 		void endTheTask() {
-			run(FIRST);
+			startAttempt(ATTEMPT);
 			RackManagerTests.this.worker.endAll(AttemptPhase.FINISHED);
-			heartbeat();
-			assertThat(events()).containsExactly(AttemptEventKind.FINISHED);
+			sendHeartbeats();
+			assertThat(eventKinds()).containsExactly(AttemptEventKind.FINISHED);
 		}
 
 		@Test
-		void outlastsTheWorkersNextIncarnation() {
+		void isKeptWhenTheWorkerRestarts() {
 			RackManagerTests.this.worker.restart();
-			heartbeat();
-			RackManagerTests.this.racks.resolve(FIRST, WORKER, "incarnation-1", CellData.TEAM);
+			sendHeartbeats();
+			RackManagerTests.this.racks.resolve(ATTEMPT, WORKER, "incarnation-1", CellData.TEAM);
 
-			assertThat(events()).containsExactly(AttemptEventKind.FINISHED);
+			assertThat(eventKinds()).containsExactly(AttemptEventKind.FINISHED);
 		}
 
 		@Test
-		void outlastsTheWorkersSilence() {
+		void isKeptWhenTheWorkerBecomesUnresponsive() {
 			RackManagerTests.this.worker.setUnreachable(true);
-			pass(3);
-			RackManagerTests.this.racks.resolve(FIRST, WORKER, "incarnation-1", CellData.TEAM);
+			advanceSeconds(3);
+			RackManagerTests.this.racks.resolve(ATTEMPT, WORKER, "incarnation-1", CellData.TEAM);
 
-			assertThat(events()).containsExactly(AttemptEventKind.FINISHED);
+			assertThat(eventKinds()).containsExactly(AttemptEventKind.FINISHED);
 		}
 
 	}
 
 	@Nested
-	class Orders {
+	class Commands {
 
 		@Test
-		void addedWhileACommandIsInFlightAreSentAfterIt() {
+		void addedWhileAnotherIsInFlightAreSentAfterIt() {
 			RackManagerTests.this.racks.sendHeartbeats();
-			reserve(FIRST, true);
+			reserve(ATTEMPT, true);
 			RackManagerTests.this.racks.sendUrgentCommands();
 			RackManagerTests.this.control.drain();
 			RackManagerTests.this.racks.sendUrgentCommands();
 			RackManagerTests.this.control.drain();
-			assertThat(RackManagerTests.this.workers.running()).containsExactly(FIRST);
+			assertThat(RackManagerTests.this.workers.running()).containsExactly(ATTEMPT);
 		}
 
 		@Test
-		void whoseAnswerIsLostAreSentAgainAndRunOnce() {
+		void whoseResponseIsLostAreSentAgainAndTakeEffectOnce() {
 			RackManagerTests.this.worker.setAnswersLost(true);
-			run(FIRST);
+			startAttempt(ATTEMPT);
 			RackManagerTests.this.worker.setAnswersLost(false);
-			pass(1);
-			assertThat(events()).containsExactly(AttemptEventKind.RUNNING);
+			advanceSeconds(1);
+			assertThat(eventKinds()).containsExactly(AttemptEventKind.RUNNING);
 			assertThat(RackManagerTests.this.workers.runs().values()).containsExactly(1);
 		}
 
 		@Test
-		void toStopOvertakeAStartThatArrivesLate() {
+		void toStopTakePrecedenceOverADelayedStart() {
 			RackManagerTests.this.worker.setCommandsLate(true);
-			run(FIRST);
-			RackManagerTests.this.racks.stop(FIRST, WORKER, CellData.TEAM);
+			startAttempt(ATTEMPT);
+			RackManagerTests.this.racks.stop(ATTEMPT, WORKER, CellData.TEAM);
 			RackManagerTests.this.worker.setCommandsLate(false);
-			pass(1);
-			assertThat(events()).containsExactly(AttemptEventKind.GONE);
+			advanceSeconds(1);
+			assertThat(eventKinds()).containsExactly(AttemptEventKind.GONE);
 			acknowledgeAll();
-			pass(1);
+			advanceSeconds(1);
 			RackManagerTests.this.worker.landLateCommands();
 			assertThat(RackManagerTests.this.workers.runs()).isEmpty();
 		}
 
 		@Test
-		void forAnEarlierIncarnationStartNothingOnTheNextOne() {
+		void forAnEarlierIncarnationAreIgnoredByTheNextOne() {
 			RackManagerTests.this.worker.setCommandsLate(true);
-			run(FIRST);
+			startAttempt(ATTEMPT);
 			RackManagerTests.this.worker.setCommandsLate(false);
 			RackManagerTests.this.worker.restart();
-			pass(1);
-			assertThat(events()).containsExactly(AttemptEventKind.GONE);
+			advanceSeconds(1);
+			assertThat(eventKinds()).containsExactly(AttemptEventKind.GONE);
 			RackManagerTests.this.worker.landLateCommands();
 			assertThat(RackManagerTests.this.workers.runs()).isEmpty();
 		}
 
 		@Test
-		void toStopEndWithTheirAcknowledgement() {
-			run(FIRST);
+		void toStopAreForgottenAfterTheirAcknowledgement() {
+			startAttempt(ATTEMPT);
 			RackManagerTests.this.worker.setUnreachable(true);
-			RackManagerTests.this.racks.stop(FIRST, WORKER, CellData.TEAM);
+			RackManagerTests.this.racks.stop(ATTEMPT, WORKER, CellData.TEAM);
 			RackManagerTests.this.worker.restart();
 			RackManagerTests.this.worker.setUnreachable(false);
-			pass(1);
+			advanceSeconds(1);
 			acknowledgeAll();
-			pass(1);
-			pass(1);
+			advanceSeconds(1);
+			advanceSeconds(1);
 			assertThat(RackManagerTests.this.worker.known()).isEmpty();
 		}
 
@@ -249,19 +250,19 @@
 	class ARackTakenOver {
 
 		@Test
-		void withAHigherEpochForgetsThePlacesOfTheFormerOne() {
-			reserve(FIRST, false);
+		void withAHigherEpochDropsTheReservationsOfTheFormerOne() {
+			reserve(ATTEMPT, false);
 			RackManagerTests.this.racks.acquireOwnership("r1", 3);
-			assertThat(reserve(FIRST, false)).isEmpty();
+			assertThat(reserve(ATTEMPT, false)).isEmpty();
 		}
 
 		@Test
-		void isLostToTheFormerOwnerAtItsNextCommand() {
+		void isReleasedByTheFormerOwnerAfterItsNextCommand() {
 			RackManager former = RackManagerTests.this.racks;
 			RackManagerTests.this.racks = newOwner();
 			takeOver(2);
 			RackManagerTests.this.racks = former;
-			run(FIRST);
+			startAttempt(ATTEMPT);
 			assertThat(RackManagerTests.this.workers.runs()).isEmpty();
 			assertThat(former.summaries()).isEmpty();
 		}
@@ -271,7 +272,7 @@
 			RackManagerTests.this.worker.setUnreachable(true);
 			RackManagerTests.this.racks = newOwner();
 			takeOver(2);
-			assertThat(reserve(FIRST, true)).isEmpty();
+			assertThat(reserve(ATTEMPT, true)).isEmpty();
 		}
 
 	}
