--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/queue/QueueManager.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/queue/QueueManager.java
@@ -195,14 +195,6 @@
 		queue.recordInitiallyDeclared(this.declaredWorkloads.keySet());
 	}
 
-	/**
-	 * Load a job's record and add the job to its queue. If the table does not answer, a
-	 * repeatable job that was declared after the queue was first loaded is added without
-	 * a record, as it cannot have one yet; all others are loaded again in a later round.
-	 * @param team the team
-	 * @param queue the queue of the team
-	 * @param id the job
-	 */
 	private void load(String team, TeamQueue queue, JobId id) {
 		this.store.load(id).whenCompleteAsync((record, failure) -> {
 			queue.loadingJobs().remove(id);
@@ -214,6 +206,7 @@
 				add(queue, workload, record);
 			}
 			else if (!workload.once() && queue.isDeclaredAfterLoad(id)) {
+				// Cannot have a record yet; all others are loaded again in a later round.
 				add(queue, workload, JobRecord.NONE);
 			}
 		}, this.controlExecutor);
@@ -226,10 +219,6 @@
 		applyDeclaration(queue, job);
 	}
 
-	/**
-	 * Replace a job whose row another owner has changed by one loaded from the table.
-	 * @param id the job
-	 */
 	private void reloadAfterConflict(JobId id) {
 		for (Map.Entry<String, TeamQueue> entry : this.queues.entrySet()) {
 			Job removed = entry.getValue().jobs().remove(id);
