--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/routing/BackendClient.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/routing/BackendClient.java
@@ -6,18 +6,18 @@
 import org.monsoonrelay.model.host.HostAddress;
 
 /**
- * Port to the backend servers. Implementations are safe for use by several threads and
- * send each request at most once.
+ * Client for backend servers. Implementations are thread-safe and send each request at
+ * most once per call.
  */
 public interface BackendClient {
 
 	/**
-	 * Send a request.
-	 * @param server the backend server
+	 * Send a request to a backend server.
+	 * @param server the address of the backend server
 	 * @param request the request
-	 * @param giveUpAt when to give the attempt up
-	 * @return how the attempt ended; never fails
+	 * @param attemptDeadline when to abandon the attempt
+	 * @return the result of the attempt; never completes exceptionally
 	 */
-	CompletableFuture<AttemptResult> send(HostAddress server, ForwardedRequest request, Instant giveUpAt);
+	CompletableFuture<AttemptResult> send(HostAddress server, ForwardedRequest request, Instant attemptDeadline);
 
 }
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/routing/BackendPool.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/routing/BackendPool.java
@@ -15,10 +15,10 @@
 import org.monsoonrelay.model.host.HostAddress;
 
 /**
- * The backend servers of one service and the slots this gateway uses on them. Invariants:
- * no server gets more than its share of slots from this gateway; a leaving server gets
- * none; no server is ejected while that would leave less than half of the servers;
- * everything known of a server belongs to one incarnation. Thread-safe.
+ * Backend servers of one service and the slots that this gateway uses on them.
+ * Invariants: this gateway uses no more than its share of slots of a server; a leaving
+ * server is given no requests; a server is not ejected if fewer than half of the servers
+ * would remain; the recorded state of a server belongs to one incarnation. Thread-safe.
  */
 public final class BackendPool {
 
@@ -41,69 +41,74 @@
 	private int inFlight;
 
 	/**
-	 * Create a pool without servers, with the choice and the pause that gateways use.
-	 * @param slotsEach slots of one server that this gateway may use at most
+	 * Create a pool without servers that uses the default server selection and refusal
+	 * backoff of gateways.
+	 * @param slotsPerServer maximum number of slots of each server that this gateway may
+	 * use
 	 * @param ownFailureDomain the failure domain of this gateway
-	 * @param clock the time
-	 * @param random decides between servers that are alike
+	 * @param clock the clock
+	 * @param random breaks ties between servers with equal load
 	 */
-	public BackendPool(int slotsEach, String ownFailureDomain, InstantSource clock, UniformRandomProvider random) {
-		this(slotsEach, ownFailureDomain, clock, new LeastExpectedLoadSelector(random), RefusalBackoff.DEFAULT);
+	public BackendPool(int slotsPerServer, String ownFailureDomain, InstantSource clock, UniformRandomProvider random) {
+		this(slotsPerServer, ownFailureDomain, clock, new LeastExpectedLoadSelector(random), RefusalBackoff.DEFAULT);
 	}
 
 	/**
 	 * Create a pool without servers.
-	 * @param slotsEach slots of one server that this gateway may use at most
+	 * @param slotsPerServer maximum number of slots of each server that this gateway may
+	 * use
 	 * @param ownFailureDomain the failure domain of this gateway
-	 * @param clock the time
-	 * @param choice chooses among the servers
-	 * @param pause what happens after a server refused as full
+	 * @param clock the clock
+	 * @param serverSelector selects the server for each request
+	 * @param refusalBackoff backoff after a server has refused a request because it is
+	 * full
 	 */
-	public BackendPool(int slotsEach, String ownFailureDomain, InstantSource clock, ServerSelector choice,
-			RefusalBackoff pause) {
-		this.slotsPerServer = slotsEach;
+	public BackendPool(int slotsPerServer, String ownFailureDomain, InstantSource clock, ServerSelector serverSelector,
+			RefusalBackoff refusalBackoff) {
+		this.slotsPerServer = slotsPerServer;
 		this.ownFailureDomain = ownFailureDomain;
 		this.clock = clock;
-		this.serverSelector = choice;
-		this.refusalBackoff = pause;
-		this.refusalBudget = pause.createBudget();
+		this.serverSelector = serverSelector;
+		this.refusalBackoff = refusalBackoff;
+		this.refusalBudget = refusalBackoff.createBudget();
 	}
 
 	/**
-	 * Take in the hosts that the host list has for the service.
-	 * @param hosts the hosts
+	 * Update the servers from the host list.
+	 * @param hosts the listed hosts of the service
 	 */
 	public synchronized void update(Collection<Host> hosts) {
 		Set<HostAddress> listed = hosts.stream().map(Host::address).collect(Collectors.toSet());
 		this.servers.keySet().retainAll(listed);
 		for (Host host : hosts) {
-			BackendServer present = this.servers.get(host.address());
-			if (present == null || !present.incarnation().equals(host.incarnation())) {
+			BackendServer existing = this.servers.get(host.address());
+			if (existing == null || !existing.incarnation().equals(host.incarnation())) {
 				this.servers.put(host.address(), new BackendServer(host, this.ownFailureDomain));
 			}
 			else {
-				present.updateState(host.state());
+				existing.updateState(host.state());
 			}
 		}
 	}
 
 	/**
-	 * Take a slot of the server that the pool's choice names.
-	 * @param tried servers that this request has tried already
-	 * @return the slot, or empty if none is free
+	 * Acquire a slot of the server that the server selector selects.
+	 * @param triedServers servers to exclude because the request has been sent to them
+	 * @return the slot, or empty if no server has a free slot
 	 */
-	public synchronized Optional<BackendSlot> acquire(Set<HostAddress> tried) {
+	public synchronized Optional<BackendSlot> acquire(Set<HostAddress> triedServers) {
 		Instant now = this.clock.instant();
-		List<BackendServer> able = candidateServers(now).stream()
-			.filter((server) -> !tried.contains(server.address()) && server.hasFreeSlot(now, this.slotsPerServer))
+		List<BackendServer> available = candidateServers(now).stream()
+			.filter((server) -> !triedServers.contains(server.address())
+					&& server.hasFreeSlot(now, this.slotsPerServer))
 			.toList();
-		return this.serverSelector.select(able, now).map(this::occupySlot);
+		return this.serverSelector.select(available, now).map(this::occupySlot);
 	}
 
 	private List<BackendServer> candidateServers(Instant now) {
-		List<BackendServer> staying = activeServers();
-		List<BackendServer> healthy = staying.stream().filter((server) -> !server.isEjected(now)).toList();
-		return (healthy.size() * 2 >= staying.size()) ? healthy : staying;
+		List<BackendServer> activeServers = activeServers();
+		List<BackendServer> healthy = activeServers.stream().filter((server) -> !server.isEjected(now)).toList();
+		return (healthy.size() * 2 >= activeServers.size()) ? healthy : activeServers;
 	}
 
 	private List<BackendServer> activeServers() {
@@ -117,19 +122,19 @@
 	}
 
 	/**
-	 * Give a slot back.
-	 * @param slot the slot
-	 * @param result how the attempt ended
+	 * Release a slot and record the result of its attempt.
+	 * @param slot the slot, which must be released once only
+	 * @param result the result of the attempt
 	 */
 	public synchronized void release(BackendSlot slot, AttemptResult result) {
 		BackendServer server = slot.server();
 		server.freeSlot();
 		this.inFlight--;
 		Instant now = this.clock.instant();
-		if (result instanceof AttemptResult.Answered whole) {
+		if (result instanceof AttemptResult.Answered answered) {
 			this.refusalBudget.recordRequest();
 			server.recordAnswer(now);
-			if (whole.status() < SERVER_ERROR) {
+			if (answered.status() < SERVER_ERROR) {
 				server.recordSuccess();
 			}
 			else if (server.recordServerError() && canEject(now)) {
@@ -151,14 +156,14 @@
 	}
 
 	private boolean canEject(Instant now) {
-		List<BackendServer> staying = activeServers();
-		long ejected = staying.stream().filter((server) -> server.isEjected(now)).count();
-		return (ejected + 1) * 2 <= staying.size();
+		List<BackendServer> activeServers = activeServers();
+		long ejected = activeServers.stream().filter((server) -> server.isEjected(now)).count();
+		return (ejected + 1) * 2 <= activeServers.size();
 	}
 
 	/**
-	 * Take in what peers say of leaving servers.
-	 * @param incarnations incarnations of leaving servers
+	 * Mark servers as leaving that peers have reported as leaving.
+	 * @param incarnations the incarnations of the leaving servers
 	 */
 	public synchronized void markLeaving(Set<String> incarnations) {
 		this.servers.values()
@@ -168,8 +173,9 @@
 	}
 
 	/**
-	 * The servers that are leaving, by whichever word came first.
-	 * @return their incarnations
+	 * Return the servers that are leaving according to the host list, their own responses
+	 * or a peer.
+	 * @return the incarnations of the leaving servers
 	 */
 	public synchronized Set<String> leavingIncarnations() {
 		return this.servers.values()
@@ -180,7 +186,7 @@
 	}
 
 	/**
-	 * Tell whether any server may be given work, now or when a slot comes free.
+	 * Return whether any server can be given requests, now or once a slot is free.
 	 * @return {@code false} if none is listed or all are leaving
 	 */
 	public synchronized boolean hasActiveServers() {
@@ -188,26 +194,28 @@
 	}
 
 	/**
-	 * Tell whether a request has a server left that it has not tried.
-	 * @param tried servers that it has tried
-	 * @return {@code false} if each server that is neither leaving nor ejected has been
+	 * Return whether there is a candidate server that a request has not been sent to.
+	 * @param triedServers servers that the request has been sent to
+	 * @return {@code false} if all servers that are neither leaving nor ejected have been
 	 * tried
 	 */
-	public synchronized boolean hasUntriedServer(Set<HostAddress> tried) {
-		return candidateServers(this.clock.instant()).stream().anyMatch((server) -> !tried.contains(server.address()));
+	public synchronized boolean hasUntriedServer(Set<HostAddress> triedServers) {
+		return candidateServers(this.clock.instant()).stream()
+			.anyMatch((server) -> !triedServers.contains(server.address()));
 	}
 
 	/**
-	 * Number of slots this gateway may use at most.
-	 * @return the count
+	 * Return the maximum number of slots that this gateway may use.
+	 * @return the number of slots on servers that are not leaving
 	 */
 	public synchronized int slotCapacity() {
 		return activeServers().size() * this.slotsPerServer;
 	}
 
 	/**
-	 * Number of slots in use, those on servers that the host list has dropped included.
-	 * @return the count
+	 * Return the number of slots in use, including slots on servers that are no longer
+	 * listed.
+	 * @return the number of slots
 	 */
 	public synchronized int inFlight() {
 		return this.inFlight;
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/routing/BackendServer.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/routing/BackendServer.java
@@ -8,22 +8,26 @@
 import org.monsoonrelay.model.host.HostState;
 
 /**
- * One incarnation of a backend server as this gateway sees it: a replaced host is another
- * object, so that it starts clean. Once leaving, it stays so. Not thread-safe: guarded by
- * its pool.
+ * State of one incarnation of a backend server, as observed by this gateway. A host that
+ * is replaced or restarted gets a new object, so that no state of its predecessor applies
+ * to it. A leaving server never becomes active again. Not thread-safe: guarded by its
+ * pool.
  */
 final class BackendServer implements ServerLoad {
 
 	private static final int EJECTION_FAILURE_THRESHOLD = 3;
 
-	/** More than failures, since an error may be due to the requests. */
+	/**
+	 * Higher than the failure threshold, because server errors may be caused by the
+	 * requests.
+	 */
 	private static final int EJECTION_ERROR_THRESHOLD = 10;
 
 	private static final Duration INITIAL_EJECTION_DURATION = Duration.ofSeconds(1);
 
 	private static final int MAXIMUM_EJECTION_DOUBLINGS = 4;
 
-	/** After an ejection, one slot more is used each time this has passed. */
+	/** Interval after which one more slot is used again following an ejection. */
 	private static final Duration SLOT_RECOVERY_INTERVAL = Duration.ofMillis(500);
 
 	private final String incarnation;
@@ -74,9 +78,9 @@
 	}
 
 	/**
-	 * Count an answer with a server error.
-	 * @return {@code true} if the server has answered nothing else often enough to be
-	 * ejected
+	 * Record a response with a server error.
+	 * @return {@code true} if there have been enough consecutive errors to eject the
+	 * server
 	 */
 	boolean recordServerError() {
 		this.consecutiveErrors++;
@@ -84,8 +88,9 @@
 	}
 
 	/**
-	 * Count a failed attempt.
-	 * @return {@code true} if the server has failed often enough to be ejected
+	 * Record a failed attempt.
+	 * @return {@code true} if there have been enough consecutive failures to eject the
+	 * server
 	 */
 	boolean recordFailure() {
 		this.consecutiveFailures++;
@@ -96,14 +101,14 @@
 		int doublings = Math.min(this.ejections, MAXIMUM_EJECTION_DOUBLINGS);
 		this.ejectedUntil = now.plus(INITIAL_EJECTION_DURATION.multipliedBy(1L << doublings));
 		this.ejections++;
-		// The first failure or error after its return ejects it again.
+		// The first failure or error after the ejection ejects the server again.
 		this.consecutiveFailures = EJECTION_FAILURE_THRESHOLD - 1;
 		this.consecutiveErrors = EJECTION_ERROR_THRESHOLD - 1;
 	}
 
-	void recordRefusal(Instant now, Duration pause) {
+	void recordRefusal(Instant now, Duration delay) {
 		this.lastRefusedAt = now;
-		this.backoffUntil = now.plus(pause);
+		this.backoffUntil = now.plus(delay);
 		this.inFlightAtRefusal = this.inFlight;
 	}
 
@@ -116,26 +121,28 @@
 	}
 
 	/**
-	 * Tell whether the server may be given one more request. After an ejection it gets
-	 * one slot at first and more as time passes; after a refusal it keeps those it had.
-	 * @param now the present time
-	 * @param most slots of the server that this gateway may use at most
-	 * @return {@code true} if it may
+	 * Return whether the server can be given one more request. After an ejection, one
+	 * slot is available at first, and one more after each recovery interval. During the
+	 * backoff after a refusal, no more slots are available than were in use when the
+	 * server refused.
+	 * @param now the current time
+	 * @param maximumSlots maximum number of slots that this gateway may use
+	 * @return {@code true} if a slot is free
 	 */
-	boolean hasFreeSlot(Instant now, int most) {
-		int room = Math.min(most, slotsAfterEjection(now));
+	boolean hasFreeSlot(Instant now, int maximumSlots) {
+		int availableSlots = Math.min(maximumSlots, slotsAfterEjection(now));
 		if (now.isBefore(this.backoffUntil)) {
-			room = Math.min(room, this.inFlightAtRefusal);
+			availableSlots = Math.min(availableSlots, this.inFlightAtRefusal);
 		}
-		return this.inFlight < room;
+		return this.inFlight < availableSlots;
 	}
 
 	private int slotsAfterEjection(Instant now) {
 		if (this.ejectedUntil.equals(Instant.MIN)) {
 			return Integer.MAX_VALUE;
 		}
-		long steps = Duration.between(this.ejectedUntil, now).dividedBy(SLOT_RECOVERY_INTERVAL);
-		return (int) Math.min(Integer.MAX_VALUE, 1 + Math.max(0, steps));
+		long intervals = Duration.between(this.ejectedUntil, now).dividedBy(SLOT_RECOVERY_INTERVAL);
+		return (int) Math.min(Integer.MAX_VALUE, 1 + Math.max(0, intervals));
 	}
 
 	boolean isLeaving() {
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/routing/BackendSlot.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/routing/BackendSlot.java
@@ -3,8 +3,8 @@
 import org.monsoonrelay.model.host.HostAddress;
 
 /**
- * A slot that a pool has given out, bound to one incarnation of a backend server. To be
- * given back once. Immutable.
+ * Slot on one incarnation of a backend server, acquired from a {@link BackendPool}. Must
+ * be released once. Immutable.
  */
 public final class BackendSlot {
 
@@ -19,8 +19,8 @@
 	}
 
 	/**
-	 * Where the backend server listens.
-	 * @return its address
+	 * Return the address of the backend server.
+	 * @return the address
 	 */
 	public HostAddress address() {
 		return this.server.address();
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/routing/ForwardedRequest.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/routing/ForwardedRequest.java
@@ -7,16 +7,17 @@
 import org.monsoonrelay.model.workload.Operation;
 
 /**
- * A caller's request as it is forwarded. Immutable.
+ * Request of a caller that is forwarded to a backend server. Immutable.
  *
- * @param id identity of the request, for logs
- * @param service the service asked for
- * @param operation the operation asked for
+ * @param id identifier of the request, used in logs and to identify its own idempotency
+ * record
+ * @param service the requested service
+ * @param operation the requested operation
  * @param method the HTTP method
  * @param query the query string, empty if none
- * @param headers headers to forward
- * @param body the whole body
- * @param deadline when the caller stops waiting
+ * @param headers the headers to forward
+ * @param body the complete request body
+ * @param deadline when the caller stops waiting for the response
  */
 public record ForwardedRequest(String id, String service, Operation operation, String method, String query,
 		List<HeaderLine> headers, byte[] body, Instant deadline) {
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/routing/LeastExpectedLoadSelector.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/routing/LeastExpectedLoadSelector.java
@@ -9,10 +9,11 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * Takes the server with the least expected load, counted in requests: those of this
- * gateway in flight, up to one more after a refusal, which is forgotten as time passes,
- * one less just after an answer, which frees a slot, and a part of one more in another
- * failure domain, so that load spills there before the own one is full. Not thread-safe.
+ * Selects the server with the least expected load. The load is counted in requests: the
+ * requests of this gateway in flight; plus up to one after a refusal, decreasing with
+ * time; minus one shortly after a response, which has freed a slot; plus a fraction of a
+ * request if the server is in another failure domain, so that load spills over to other
+ * domains before the gateway's own domain is full. Not thread-safe.
  */
 public final class LeastExpectedLoadSelector implements ServerSelector {
 
@@ -27,16 +28,16 @@
 	private final UniformRandomProvider random;
 
 	/**
-	 * Create a choice.
-	 * @param random decides between servers that are alike
+	 * Create a selector.
+	 * @param random breaks ties between servers with equal load
 	 */
 	public LeastExpectedLoadSelector(UniformRandomProvider random) {
 		this.random = random;
 	}
 
 	@Override
-	public <S extends ServerLoad> Optional<S> select(List<S> able, Instant now) {
-		return able.stream()
+	public <S extends ServerLoad> Optional<S> select(List<S> available, Instant now) {
+		return available.stream()
 			.map((server) -> new Scored<>(server,
 					expectedLoad(server, now) + TIE_BREAKER_REQUESTS * this.random.nextDouble()))
 			.min(Comparator.comparingDouble(Scored::load))
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/routing/PendingRequest.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/routing/PendingRequest.java
@@ -9,14 +9,14 @@
 import org.monsoonrelay.model.request.RequestOutcome;
 
 /**
- * A request on its way, with the servers it has tried. Its outcome completes once. Each
- * field is used by one attempt at a time.
+ * Request that is waiting for a slot or in flight, with the servers it has been sent to.
+ * The outcome is completed once. At any time, at most one attempt uses the fields.
  */
 final class PendingRequest {
 
 	static final Comparator<PendingRequest> DISPATCH_ORDER = Comparator
-		.comparing((PendingRequest waiting) -> waiting.request().operation().trafficClass())
-		.thenComparing((waiting) -> waiting.request().deadline())
+		.comparing((PendingRequest pending) -> pending.request().operation().trafficClass())
+		.thenComparing((pending) -> pending.request().deadline())
 		.thenComparingLong(PendingRequest::sequence);
 
 	private final ForwardedRequest request;
@@ -49,8 +49,8 @@
 	}
 
 	/**
-	 * Note that an attempt begins.
-	 * @return {@code true} for the first one
+	 * Record the start of an attempt.
+	 * @return {@code true} if it is the first attempt
 	 */
 	boolean markAttempted() {
 		boolean first = !this.attempted;
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/routing/RefusalBackoff.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/routing/RefusalBackoff.java
@@ -3,19 +3,21 @@
 import java.time.Duration;
 
 /**
- * How long a server that refused as full gets no more requests than it has in flight. The
- * short pause is for moments in which the cell is busy; the long one holds once refusals
- * outrun answers, so that an overload does not drown the servers in refusals. Immutable.
+ * Backoff after a server has refused a request because it is full. During the delay, the
+ * server is given no more requests than it had in flight when it refused. The normal
+ * delay applies while the cell is busy for short periods. The longer overload delay
+ * applies when refusals outnumber responses and have used up the budget, so that an
+ * overload does not make the servers spend their capacity on refusals. Immutable.
  *
- * @param brief the pause while the budget lasts
- * @param overloaded the pause once the budget is used up
- * @param refusalsPerAnswer refusals that each answer adds to the budget
- * @param reserve refusals that the budget holds at most
+ * @param normalDelay the delay while the budget is not used up
+ * @param overloadDelay the delay once the budget is used up
+ * @param refusalsPerAnswer number of refusals that each response adds to the budget
+ * @param maximumBudget maximum number of refusals in the budget
  */
 public record RefusalBackoff(Duration normalDelay, Duration overloadDelay, double refusalsPerAnswer,
 		double maximumBudget) {
 
-	/** What the gateways use. */
+	/** Backoff that gateways use. */
 	public static final RefusalBackoff DEFAULT = new RefusalBackoff(Duration.ofMillis(2), Duration.ofMillis(150), 0.6,
 			1000);
 
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/routing/RetryBudget.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/routing/RetryBudget.java
@@ -1,10 +1,11 @@
 package org.monsoonrelay.logic.routing;
 
 /**
- * Bounds retries to a share of the requests, so that an outage does not multiply load.
- * Invariant: over any time, retries are at most the reserve plus the share of the
- * requests. Requests that went into silent connections are sent again outside of it: they
- * reached no server, and there are at most as many as connections. Thread-safe.
+ * Token bucket that limits retries to a fraction of the requests, so that an outage does
+ * not multiply the load. Invariant: in any period, the number of retries is at most the
+ * capacity plus the fraction of the requests in that period. Requests sent over stale
+ * connections are retried outside of the budget: they did not reach a server, and their
+ * number is limited by the number of connections. Thread-safe.
  */
 public final class RetryBudget {
 
@@ -16,25 +17,26 @@
 
 	/**
 	 * Create a budget.
-	 * @param share retries allowed for each request, between 0 and 1
-	 * @param reserve the most retries that can be saved up
+	 * @param retriesPerRequest number of retries that each request adds to the budget,
+	 * between 0 and 1
+	 * @param capacity maximum number of unused retries, which is also the initial number
 	 */
-	public RetryBudget(double share, double reserve) {
-		this.retriesPerRequest = share;
-		this.capacity = reserve;
-		this.tokens = reserve;
+	public RetryBudget(double retriesPerRequest, double capacity) {
+		this.retriesPerRequest = retriesPerRequest;
+		this.capacity = capacity;
+		this.tokens = capacity;
 	}
 
 	/**
-	 * A request has come in.
+	 * Record a request, which adds to the budget.
 	 */
 	public synchronized void recordRequest() {
 		this.tokens = Math.min(this.capacity, this.tokens + this.retriesPerRequest);
 	}
 
 	/**
-	 * Ask for a retry.
-	 * @return {@code true} if the budget allows it
+	 * Take one retry from the budget.
+	 * @return {@code true} if a retry is allowed
 	 */
 	public synchronized boolean tryAcquire() {
 		if (this.tokens < 1) {
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/routing/ServerLoad.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/routing/ServerLoad.java
@@ -3,33 +3,33 @@
 import java.time.Instant;
 
 /**
- * What this gateway knows of the load of one backend server. Read under the lock of the
- * server's pool.
+ * Load of one backend server, as observed by this gateway. Read while the lock of the
+ * server's pool is held.
  */
 public interface ServerLoad {
 
 	/**
-	 * Requests of this gateway that are in flight to the server.
-	 * @return the count
+	 * Return the number of requests from this gateway that are in flight to the server.
+	 * @return the number of requests
 	 */
 	int inFlight();
 
 	/**
-	 * Tell whether the server stands in the gateway's own failure domain.
-	 * @return {@code true} if it does
+	 * Return whether the server is in the same failure domain as this gateway.
+	 * @return {@code true} if the failure domains are the same
 	 */
 	boolean isInSameFailureDomain();
 
 	/**
-	 * When the server last refused a request because it was full.
-	 * @return the time, {@link Instant#MIN} if it never has
+	 * Return when the server last refused a request because it was full.
+	 * @return the time, or {@link Instant#MIN} if it has refused none
 	 */
 	Instant lastRefusedAt();
 
 	/**
-	 * When the server last answered, if it has been given no request since: one of its
-	 * slots was free then.
-	 * @return the time, otherwise {@link Instant#MIN}
+	 * Return when the last response of the server freed a slot.
+	 * @return the time, or {@link Instant#MIN} if the server has been given a request
+	 * since
 	 */
 	Instant slotFreedAt();
 
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/routing/ServerSelector.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/routing/ServerSelector.java
@@ -5,18 +5,19 @@
 import java.util.Optional;
 
 /**
- * Chooses the backend server that a request is sent to. Called under the lock of a pool,
- * so implementations need not be thread-safe, but each belongs to one pool.
+ * Strategy that selects the backend server for a request. Called while the lock of the
+ * pool is held, so implementations need not be thread-safe, but an instance must not be
+ * shared between pools.
  */
 public interface ServerSelector {
 
 	/**
-	 * Choose a server.
-	 * @param <S> type of the servers
-	 * @param able the servers that may be given the request
-	 * @param now the present time
-	 * @return the server, or empty if the request had better wait
+	 * Select a server.
+	 * @param <S> the type of the servers
+	 * @param available the servers that can be given the request
+	 * @param now the current time
+	 * @return the server, or empty if the request should wait
 	 */
-	<S extends ServerLoad> Optional<S> select(List<S> able, Instant now);
+	<S extends ServerLoad> Optional<S> select(List<S> available, Instant now);
 
 }
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/routing/ServiceRouter.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/routing/ServiceRouter.java
@@ -15,11 +15,12 @@
 import org.monsoonrelay.model.request.RequestOutcome;
 
 /**
- * Routes the requests of one service. A request takes a free slot or waits, ordered by
- * class and deadline; one that cannot make its deadline is refused at once. Invariants: a
- * request that may not be repeated is on the wire at most once; "not run" is said only if
- * no byte reached a backend server or the server itself refused before it started; each
- * slot taken is given back once. Thread-safe.
+ * Routes the requests of one service to backend servers. A request that finds no free
+ * slot is queued by traffic class and deadline; a request that is not expected to meet
+ * its deadline is refused at once. Invariants: a request that is not repeatable is sent
+ * again only if it cannot have run before; a request is reported as not run only if no
+ * byte of it reached a backend server or the server refused it before starting it; each
+ * acquired slot is released once. Thread-safe.
  */
 public final class ServiceRouter {
 
@@ -45,69 +46,69 @@
 
 	private final TreeSet<PendingRequest> waitingRequests = new TreeSet<>(PendingRequest.DISPATCH_ORDER);
 
-	public ServiceRouter(BackendPool pool, BackendClient client, RetryBudget retries, InstantSource clock,
-			int maximumWaiting, Duration attemptLimit) {
+	public ServiceRouter(BackendPool pool, BackendClient client, RetryBudget retryBudget, InstantSource clock,
+			int maximumWaiting, Duration attemptTimeout) {
 		this.pool = pool;
 		this.client = client;
-		this.retryBudget = retries;
+		this.retryBudget = retryBudget;
 		this.clock = clock;
 		this.maximumWaiting = maximumWaiting;
-		this.attemptTimeout = attemptLimit;
+		this.attemptTimeout = attemptTimeout;
 	}
 
 	/**
 	 * Route a request.
 	 * @param request the request
-	 * @return its outcome; never fails
+	 * @return the outcome; never completes exceptionally
 	 */
 	public CompletableFuture<RequestOutcome> route(ForwardedRequest request) {
-		PendingRequest arrived = new PendingRequest(request, this.lastSequence.incrementAndGet());
+		PendingRequest pending = new PendingRequest(request, this.lastSequence.incrementAndGet());
 		if (!this.clock.instant().isBefore(request.deadline())) {
-			completeUnanswered(arrived, NotRunReason.DEADLINE);
+			completeUnanswered(pending, NotRunReason.DEADLINE);
 		}
 		else if (!this.pool.hasActiveServers()) {
-			completeUnanswered(arrived, NotRunReason.NO_BACKEND_SERVER);
+			completeUnanswered(pending, NotRunReason.NO_BACKEND_SERVER);
 		}
-		else if (wouldMissDeadline(arrived)) {
-			completeUnanswered(arrived, NotRunReason.OVERLOAD);
+		else if (wouldMissDeadline(pending)) {
+			completeUnanswered(pending, NotRunReason.OVERLOAD);
 		}
 		else {
-			enqueue(arrived);
+			enqueue(pending);
 			dispatchWaiting();
 		}
-		return arrived.outcome();
+		return pending.outcome();
 	}
 
-	private synchronized boolean wouldMissDeadline(PendingRequest arrived) {
+	private synchronized boolean wouldMissDeadline(PendingRequest pending) {
 		if (this.waitingRequests.isEmpty()) {
 			return false;
 		}
-		int ahead = this.waitingRequests.headSet(arrived).size();
+		int ahead = this.waitingRequests.headSet(pending).size();
 		Duration wait = this.waitTimeEstimator.estimateWait(ahead, this.pool.inFlight());
-		return !this.clock.instant().plus(wait).isBefore(arrived.request().deadline());
+		return !this.clock.instant().plus(wait).isBefore(pending.request().deadline());
 	}
 
-	private synchronized void enqueue(PendingRequest arrived) {
-		this.waitingRequests.add(arrived);
+	private synchronized void enqueue(PendingRequest pending) {
+		this.waitingRequests.add(pending);
 	}
 
 	/**
-	 * Refuse requests whose deadline has come while they waited, and give free slots to
-	 * the others. To be called regularly.
+	 * Refuse waiting requests whose deadline has passed, and dispatch other waiting
+	 * requests to free slots. Must be called periodically.
 	 */
 	public void refuseExpired() {
 		Instant now = this.clock.instant();
-		List<PendingRequest> late = new ArrayList<>();
+		List<PendingRequest> expired = new ArrayList<>();
 		synchronized (this) {
-			this.waitingRequests.removeIf((entry) -> {
-				boolean isLate = !now.isBefore(entry.request().deadline());
-				if (isLate) {
-					late.add(entry);
+			this.waitingRequests.removeIf((pending) -> {
+				boolean isExpired = !now.isBefore(pending.request().deadline());
+				if (isExpired) {
+					expired.add(pending);
 				}
-				return isLate;
+				return isExpired;
 			});
 		}
-		late.forEach((entry) -> completeUnanswered(entry, NotRunReason.DEADLINE));
+		expired.forEach((pending) -> completeUnanswered(pending, NotRunReason.DEADLINE));
 		dispatchWaiting();
 	}
 
@@ -117,7 +118,7 @@
 			startAttempt(next.get().request(), next.get().slot());
 			next = nextDispatch();
 		}
-		pollSurplus().ifPresent((shed) -> completeUnanswered(shed, NotRunReason.OVERLOAD));
+		pollSurplus().ifPresent((surplus) -> completeUnanswered(surplus, NotRunReason.OVERLOAD));
 	}
 
 	private synchronized Optional<PendingRequest> pollSurplus() {
@@ -143,67 +144,69 @@
 		return Optional.empty();
 	}
 
-	private void startAttempt(PendingRequest waitingRequest, BackendSlot slot) {
-		if (waitingRequest.markAttempted()) {
+	private void startAttempt(PendingRequest pending, BackendSlot slot) {
+		if (pending.markAttempted()) {
 			this.retryBudget.recordRequest();
 		}
-		Instant begun = this.clock.instant();
-		send(waitingRequest.request(), slot.address(), begun).whenComplete((result, failure) -> {
-			AttemptResult ended = (result != null) ? result
+		Instant startedAt = this.clock.instant();
+		send(pending.request(), slot.address(), startedAt).whenComplete((result, failure) -> {
+			AttemptResult attemptResult = (result != null) ? result
 					: new AttemptResult.Incomplete(false, String.valueOf(failure.getMessage()));
-			this.pool.release(slot, ended);
-			if (ended instanceof AttemptResult.Answered) {
-				this.waitTimeEstimator.recordResponseTime(Duration.between(begun, this.clock.instant()));
+			this.pool.release(slot, attemptResult);
+			if (attemptResult instanceof AttemptResult.Answered) {
+				this.waitTimeEstimator.recordResponseTime(Duration.between(startedAt, this.clock.instant()));
 			}
-			waitingRequest.triedServers().add(slot.address());
-			handleResult(waitingRequest, ended);
+			pending.triedServers().add(slot.address());
+			handleResult(pending, attemptResult);
 			dispatchWaiting();
 		});
 	}
 
-	private CompletableFuture<AttemptResult> send(ForwardedRequest request, HostAddress server, Instant begun) {
-		Instant limit = begun.plus(this.attemptTimeout);
-		boolean canRepeat = request.operation().repeatable() && limit.isBefore(request.deadline());
+	private CompletableFuture<AttemptResult> send(ForwardedRequest request, HostAddress server, Instant startedAt) {
+		Instant attemptDeadline = startedAt.plus(this.attemptTimeout);
+		boolean canRetry = request.operation().repeatable() && attemptDeadline.isBefore(request.deadline());
 		try {
-			return this.client.send(server, request, canRepeat ? limit : request.deadline());
+			return this.client.send(server, request, canRetry ? attemptDeadline : request.deadline());
 		}
 		catch (RuntimeException ex) {
 			return CompletableFuture.failedFuture(ex);
 		}
 	}
 
-	private void handleResult(PendingRequest ended, AttemptResult result) {
-		if (result instanceof AttemptResult.Answered whole) {
-			ended.outcome().complete(new RequestOutcome.Answered(whole.status(), whole.headers(), whole.body()));
+	private void handleResult(PendingRequest pending, AttemptResult result) {
+		if (result instanceof AttemptResult.Answered answered) {
+			pending.outcome()
+				.complete(new RequestOutcome.Answered(answered.status(), answered.headers(), answered.body()));
 			return;
 		}
-		boolean silent = result instanceof AttemptResult.StaleConnection;
-		if (silent || result instanceof AttemptResult.Incomplete) {
-			ended.markMayHaveRun();
+		boolean staleConnection = result instanceof AttemptResult.StaleConnection;
+		if (staleConnection || result instanceof AttemptResult.Incomplete) {
+			pending.markMayHaveRun();
 		}
-		boolean mayGoOn = !ended.mayHaveRun() || ended.request().operation().repeatable();
-		boolean inTime = this.clock.instant().isBefore(ended.request().deadline());
+		boolean canRetry = !pending.mayHaveRun() || pending.request().operation().repeatable();
+		boolean beforeDeadline = this.clock.instant().isBefore(pending.request().deadline());
 		boolean refusedByServer = result instanceof AttemptResult.Refused;
-		if (mayGoOn && inTime && (refusedByServer || silent || this.retryBudget.tryAcquire())) {
+		if (canRetry && beforeDeadline && (refusedByServer || staleConnection || this.retryBudget.tryAcquire())) {
 			if (refusedByServer) {
-				ended.triedServers().clear();
+				pending.triedServers().clear();
 			}
-			enqueue(ended);
+			enqueue(pending);
 			return;
 		}
-		completeUnanswered(ended, inTime ? NotRunReason.NO_BACKEND_SERVER : NotRunReason.DEADLINE);
+		completeUnanswered(pending, beforeDeadline ? NotRunReason.NO_BACKEND_SERVER : NotRunReason.DEADLINE);
 	}
 
-	private void completeUnanswered(PendingRequest refused, NotRunReason reason) {
-		if (refused.mayHaveRun()) {
-			refused.outcome().complete(new RequestOutcome.Unknown("an attempt was sent and brought no whole answer"));
+	private void completeUnanswered(PendingRequest pending, NotRunReason reason) {
+		if (pending.mayHaveRun()) {
+			pending.outcome()
+				.complete(new RequestOutcome.Unknown("an attempt was sent but no complete response was received"));
 			return;
 		}
-		refused.outcome().complete(new RequestOutcome.NotRun(reason, retryAfter()));
+		pending.outcome().complete(new RequestOutcome.NotRun(reason, retryAfter()));
 	}
 
 	private Duration retryAfter() {
-		// The time until a slot is free for a request that comes last.
+		// Expected time until a slot is free for a request at the end of the queue.
 		Duration wait = this.waitTimeEstimator.estimateWait(waitingCount(), this.pool.inFlight());
 		if (wait.compareTo(MINIMUM_RETRY_AFTER) < 0) {
 			return MINIMUM_RETRY_AFTER;
@@ -212,23 +215,23 @@
 	}
 
 	/**
-	 * Number of requests that wait for a slot.
-	 * @return the count
+	 * Return the number of requests that are waiting for a slot.
+	 * @return the number of requests
 	 */
 	public synchronized int waitingCount() {
 		return this.waitingRequests.size();
 	}
 
 	/**
-	 * Number of requests on the wire.
-	 * @return the count
+	 * Return the number of requests that have been sent and not completed.
+	 * @return the number of requests
 	 */
 	public int inFlight() {
 		return this.pool.inFlight();
 	}
 
 	/**
-	 * The backend servers of the service.
+	 * Return the backend servers of the service.
 	 * @return the pool
 	 */
 	public BackendPool pool() {
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/routing/WaitTimeEstimator.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/routing/WaitTimeEstimator.java
@@ -3,9 +3,9 @@
 import java.time.Duration;
 
 /**
- * Estimates how long a request waits for a slot, from the time that whole answers took
- * lately and the number of slots that are in use. Before the first answer it expects no
- * wait. Thread-safe.
+ * Estimates how long a request waits for a slot, from a moving average of recent response
+ * times and the number of slots in use. The estimate is zero before the first response.
+ * Thread-safe.
  */
 final class WaitTimeEstimator {
 
@@ -13,17 +13,17 @@
 
 	private double meanResponseNanos;
 
-	synchronized void recordResponseTime(Duration took) {
-		double nanos = Math.max(0, took.toNanos());
+	synchronized void recordResponseTime(Duration responseTime) {
+		double nanos = Math.max(0, responseTime.toNanos());
 		this.meanResponseNanos = (this.meanResponseNanos != 0)
 				? this.meanResponseNanos + SMOOTHING_FACTOR * (nanos - this.meanResponseNanos) : nanos;
 	}
 
 	/**
-	 * Estimate a wait.
-	 * @param ahead number of requests that get a slot first
+	 * Estimate how long a request waits for a slot.
+	 * @param ahead number of requests that are dispatched first
 	 * @param slots number of slots in use
-	 * @return the expected wait
+	 * @return the expected waiting time
 	 */
 	synchronized Duration estimateWait(int ahead, int slots) {
 		return Duration.ofNanos((long) ((ahead + 1) * this.meanResponseNanos / Math.max(1, slots)));
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/routing/package-info.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/routing/package-info.java
@@ -1,4 +1,5 @@
 /**
- * Routing callers' requests: slots, queues, retries and membership of backend servers.
+ * Routing of caller requests to backend servers: slots, queueing, retries, and the pool
+ * of available servers.
  */
 package org.monsoonrelay.logic.routing;
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/routing/BackendPoolTests.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/routing/BackendPoolTests.java
@@ -23,19 +23,19 @@
 
 class BackendPoolTests {
 
-	private static final AttemptResult WHOLE = new AttemptResult.Answered(200, List.of(), new byte[0]);
+	private static final AttemptResult ANSWERED = new AttemptResult.Answered(200, List.of(), new byte[0]);
 
 	private static final AttemptResult SERVER_ERROR = new AttemptResult.Answered(500, List.of(), new byte[0]);
 
-	private static final AttemptResult BROKEN = new AttemptResult.Incomplete(true, "timeout");
+	private static final AttemptResult INCOMPLETE = new AttemptResult.Incomplete(true, "timeout");
 
 	private static final AttemptResult FULL = new AttemptResult.Refused(false);
 
 	private static final AttemptResult LEAVING = new AttemptResult.Refused(true);
 
-	private static final Duration EJECTION = Duration.ofSeconds(1);
+	private static final Duration EJECTION_DURATION = Duration.ofSeconds(1);
 
-	private static final Duration RETURN_STEP = Duration.ofMillis(500);
+	private static final Duration SLOT_RECOVERY_INTERVAL = Duration.ofMillis(500);
 
 	private final ManualTime time = new ManualTime(Instant.parse("2026-12-02T06:00:00Z"));
 
@@ -55,11 +55,11 @@
 		return new HostAddress("10.0.0." + number, 9200);
 	}
 
-	private void list(Host... hosts) {
+	private void updateHosts(Host... hosts) {
 		this.pool.update(List.of(hosts));
 	}
 
-	private void listServers(int count) {
+	private void updateServers(int count) {
 		this.pool.update(IntStream.rangeClosed(1, count).mapToObj(BackendPoolTests::host).toList());
 	}
 
@@ -74,53 +74,53 @@
 			.toList();
 	}
 
-	private long count(List<BackendSlot> slots, int server) {
+	private long countSlots(List<BackendSlot> slots, int server) {
 		return slots.stream().filter((slot) -> slot.address().equals(address(server))).count();
 	}
 
-	private void failOnly(int server, int times, AttemptResult failure) {
+	private void recordResults(int server, int times, AttemptResult result) {
 		List<BackendSlot> others = new ArrayList<>();
-		int failed = 0;
-		while (failed < times) {
+		int recorded = 0;
+		while (recorded < times) {
 			BackendSlot slot = acquire();
 			if (slot.address().equals(address(server))) {
-				this.pool.release(slot, failure);
-				failed++;
+				this.pool.release(slot, result);
+				recorded++;
 			}
 			else {
 				others.add(slot);
 			}
 		}
-		others.forEach((slot) -> this.pool.release(slot, WHOLE));
+		others.forEach((slot) -> this.pool.release(slot, ANSWERED));
 	}
 
 	@Nested
 	class AfterRefusals {
 
 		@Test
-		void aFullServerKeepsWhatItHasAndGetsNoMoreUntilThePauseEnds() {
-			list(host(1));
+		void aFullServerIsGivenNoAdditionalRequestsDuringTheBackoff() {
+			updateHosts(host(1));
 			BackendSlot accepted = acquire();
 			BackendSlot refused = acquire();
 
 			BackendPoolTests.this.pool.release(refused, FULL);
-			Optional<BackendSlot> more = BackendPoolTests.this.pool.acquire(Set.of());
-			BackendPoolTests.this.pool.release(accepted, WHOLE);
-			Optional<BackendSlot> freed = BackendPoolTests.this.pool.acquire(Set.of());
+			Optional<BackendSlot> duringBackoff = BackendPoolTests.this.pool.acquire(Set.of());
+			BackendPoolTests.this.pool.release(accepted, ANSWERED);
+			Optional<BackendSlot> afterRelease = BackendPoolTests.this.pool.acquire(Set.of());
 			BackendPoolTests.this.time.advance(Duration.ofMillis(2));
 
-			assertThat(more).isEmpty();
-			assertThat(freed).isPresent();
+			assertThat(duringBackoff).isEmpty();
+			assertThat(afterRelease).isPresent();
 			assertThat(BackendPoolTests.this.pool.acquire(Set.of())).isPresent();
 		}
 
 		@Test
-		void theSlotThatAnAnswerFreedIsTakenFirst() {
-			listServers(4);
+		void aSlotFreedByAnAnswerIsUsedFirst() {
+			updateServers(4);
 			IntStream.range(0, 4).forEach((index) -> acquire());
 			for (int round = 0; round < 6; round++) {
 				BackendSlot answered = acquire();
-				BackendPoolTests.this.pool.release(answered, WHOLE);
+				BackendPoolTests.this.pool.release(answered, ANSWERED);
 
 				assertThat(acquire().address()).isEqualTo(answered.address());
 				BackendPoolTests.this.time.advance(Duration.ofSeconds(1));
@@ -134,8 +134,9 @@
 	class AcrossFailureDomains {
 
 		@Test
-		void theOwnOneIsPreferredAndLoadSpillsBeforeItIsFull() {
-			list(host(1, "1", "domain-b", HostState.LIVE), host(2), host(3, "3", "domain-b", HostState.LIVE), host(4));
+		void theOwnDomainIsPreferredAndLoadSpillsOverBeforeItIsFull() {
+			updateHosts(host(1, "1", "domain-b", HostState.LIVE), host(2), host(3, "3", "domain-b", HostState.LIVE),
+					host(4));
 			List<Integer> order = IntStream.range(0, 8)
 				.mapToObj((index) -> acquire().address().host())
 				.map((host) -> Integer.parseInt(host.substring("10.0.0.".length())) % 2)
@@ -145,8 +146,8 @@
 		}
 
 		@Test
-		void theOthersAreUsedWhenTheOwnOneIsGone() {
-			list(host(2, "2-start-1", "domain-b", HostState.LIVE));
+		void otherDomainsAreUsedWhenTheOwnDomainHasNoServers() {
+			updateHosts(host(2, "2-start-1", "domain-b", HostState.LIVE));
 
 			assertThat(acquire().address()).isEqualTo(address(2));
 		}
@@ -157,33 +158,33 @@
 	class Ejection {
 
 		@Test
-		void leavesOutAServerWhoseAttemptsFail() {
-			listServers(4);
+		void excludesAServerWhoseAttemptsFail() {
+			updateServers(4);
 
-			failOnly(2, 3, BROKEN);
+			recordResults(2, 3, INCOMPLETE);
 
-			assertThat(count(acquireAll(), 2)).isZero();
+			assertThat(countSlots(acquireAll(), 2)).isZero();
 		}
 
 		@Test
-		void leavesOutAServerThatAnswersNothingButServerErrors() {
-			listServers(4);
+		void excludesAServerThatReturnsOnlyServerErrors() {
+			updateServers(4);
 
-			failOnly(2, 9, SERVER_ERROR);
-			long before = count(acquireAll(), 2);
-			listServers(0);
-			listServers(4);
-			failOnly(2, 10, SERVER_ERROR);
+			recordResults(2, 9, SERVER_ERROR);
+			long slotsBeforeThreshold = countSlots(acquireAll(), 2);
+			updateServers(0);
+			updateServers(4);
+			recordResults(2, 10, SERVER_ERROR);
 
-			assertThat(before).isPositive();
-			assertThat(count(acquireAll(), 2)).isZero();
+			assertThat(slotsBeforeThreshold).isPositive();
+			assertThat(countSlots(acquireAll(), 2)).isZero();
 		}
 
 		@Test
-		void leavesHalfOfTheServersInWhenAllFail() {
-			listServers(4);
+		void retainsHalfOfTheServersWhenAllFail() {
+			updateServers(4);
 			for (int attempt = 0; attempt < 40; attempt++) {
-				BackendPoolTests.this.pool.release(acquire(), BROKEN);
+				BackendPoolTests.this.pool.release(acquire(), INCOMPLETE);
 			}
 
 			List<BackendSlot> slots = acquireAll();
@@ -192,30 +193,30 @@
 		}
 
 		@Test
-		void endsSlotBySlot() {
-			listServers(4);
-			failOnly(2, 3, BROKEN);
+		void endsOneSlotAtATime() {
+			updateServers(4);
+			recordResults(2, 3, INCOMPLETE);
 
-			BackendPoolTests.this.time.advance(EJECTION);
-			long first = count(acquireAll(), 2);
-			BackendPoolTests.this.time.advance(RETURN_STEP);
-			long second = count(acquireAll(), 2);
-			BackendPoolTests.this.time.advance(RETURN_STEP.multipliedBy(10));
-			long rest = count(acquireAll(), 2);
+			BackendPoolTests.this.time.advance(EJECTION_DURATION);
+			long first = countSlots(acquireAll(), 2);
+			BackendPoolTests.this.time.advance(SLOT_RECOVERY_INTERVAL);
+			long second = countSlots(acquireAll(), 2);
+			BackendPoolTests.this.time.advance(SLOT_RECOVERY_INTERVAL.multipliedBy(10));
+			long rest = countSlots(acquireAll(), 2);
 
 			assertThat(List.of(first, second, rest)).containsExactly(1L, 1L, 6L);
 		}
 
 		@Test
-		void startsAgainAndLastsLongerAfterTheFirstFailureOnReturn() {
-			listServers(4);
-			failOnly(2, 3, BROKEN);
-			BackendPoolTests.this.time.advance(EJECTION);
+		void isRepeatedForLongerAfterTheFirstSubsequentFailure() {
+			updateServers(4);
+			recordResults(2, 3, INCOMPLETE);
+			BackendPoolTests.this.time.advance(EJECTION_DURATION);
 
-			failOnly(2, 1, BROKEN);
-			BackendPoolTests.this.time.advance(EJECTION);
+			recordResults(2, 1, INCOMPLETE);
+			BackendPoolTests.this.time.advance(EJECTION_DURATION);
 
-			assertThat(count(acquireAll(), 2)).isZero();
+			assertThat(countSlots(acquireAll(), 2)).isZero();
 		}
 
 	}
@@ -224,34 +225,34 @@
 	class AReplacedHost {
 
 		@Test
-		void startsCleanUnderTheSameAddress() {
-			listServers(4);
-			failOnly(2, 3, BROKEN);
-			list(host(1), host(2, "2-start-2", "domain-a", HostState.LIVE), host(3), host(4));
+		void startsWithoutTheStateOfItsPredecessor() {
+			updateServers(4);
+			recordResults(2, 3, INCOMPLETE);
+			updateHosts(host(1), host(2, "2-start-2", "domain-a", HostState.LIVE), host(3), host(4));
 
-			assertThat(count(acquireAll(), 2)).isEqualTo(8);
+			assertThat(countSlots(acquireAll(), 2)).isEqualTo(8);
 		}
 
 		@Test
-		void isNotMarkedByWhatItsPredecessorSaysLate() {
-			list(host(1));
-			BackendSlot old = acquire();
-			list(host(1, "1-start-2", "domain-a", HostState.LIVE));
+		void isNotAffectedByALateResponseOfItsPredecessor() {
+			updateHosts(host(1));
+			BackendSlot oldSlot = acquire();
+			updateHosts(host(1, "1-start-2", "domain-a", HostState.LIVE));
 
-			BackendPoolTests.this.pool.release(old, LEAVING);
+			BackendPoolTests.this.pool.release(oldSlot, LEAVING);
 
 			assertThat(BackendPoolTests.this.pool.hasActiveServers()).isTrue();
 			assertThat(acquireAll()).hasSize(8);
 		}
 
 		@Test
-		void getsNoMoreThanItsSlotsWhenAHostReturnsToTheList() {
-			list(host(1));
-			BackendSlot old = acquire();
+		void isGivenNoMoreThanItsSlotsWhenItIsListedAgain() {
+			updateHosts(host(1));
+			BackendSlot oldSlot = acquire();
 			BackendPoolTests.this.pool.update(List.of());
-			list(host(1));
+			updateHosts(host(1));
 
-			BackendPoolTests.this.pool.release(old, WHOLE);
+			BackendPoolTests.this.pool.release(oldSlot, ANSWERED);
 
 			assertThat(acquireAll()).hasSize(8);
 		}
@@ -262,27 +263,27 @@
 	class ALeavingServer {
 
 		@Test
-		void getsNoWorkOnceTheHostListSaysSo() {
-			list(host(1));
-			list(host(1, "1-start-1", "domain-a", HostState.LEAVING));
+		void isGivenNoRequestsOnceTheHostListMarksItAsLeaving() {
+			updateHosts(host(1));
+			updateHosts(host(1, "1-start-1", "domain-a", HostState.LEAVING));
 
 			assertThat(BackendPoolTests.this.pool.acquire(Set.of())).isEmpty();
 		}
 
 		@Test
-		void getsNoWorkOnceItSaysSoThoughTheHostListLags() {
-			list(host(1));
+		void isGivenNoRequestsOnceItRefusesOneAsLeavingBeforeTheHostListChanges() {
+			updateHosts(host(1));
 
 			BackendPoolTests.this.pool.release(acquire(), LEAVING);
-			list(host(1));
+			updateHosts(host(1));
 
 			assertThat(BackendPoolTests.this.pool.acquire(Set.of())).isEmpty();
 			assertThat(BackendPoolTests.this.pool.leavingIncarnations()).containsExactly("1-start-1");
 		}
 
 		@Test
-		void getsNoWorkOnceAPeerSaysSo() {
-			list(host(1));
+		void isGivenNoRequestsOnceAPeerReportsItAsLeaving() {
+			updateHosts(host(1));
 
 			BackendPoolTests.this.pool.markLeaving(Set.of("1-start-1"));
 
@@ -290,8 +291,8 @@
 		}
 
 		@Test
-		void isNotMixedUpWithItsSuccessor() {
-			list(host(1, "1-start-2", "domain-a", HostState.LIVE));
+		void isNotConfusedWithItsSuccessor() {
+			updateHosts(host(1, "1-start-2", "domain-a", HostState.LIVE));
 
 			BackendPoolTests.this.pool.markLeaving(Set.of("1-start-1"));
 
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/routing/ServiceRouterTests.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/routing/ServiceRouterTests.java
@@ -25,15 +25,15 @@
 
 class ServiceRouterTests {
 
-	private static final AttemptResult WHOLE = new AttemptResult.Answered(200, List.of(), new byte[0]);
+	private static final AttemptResult ANSWERED = new AttemptResult.Answered(200, List.of(), new byte[0]);
 
-	private static final AttemptResult BROKEN = new AttemptResult.Incomplete(false, "reset");
+	private static final AttemptResult INCOMPLETE = new AttemptResult.Incomplete(false, "reset");
 
 	private static final AttemptResult NOT_SENT = new AttemptResult.NotSent("refused");
 
-	private static final double SHARE = 0.1;
+	private static final double RETRIES_PER_REQUEST = 0.1;
 
-	private static final int RESERVE = 20;
+	private static final int RETRY_CAPACITY = 20;
 
 	private Instant now = Instant.parse("2026-12-02T06:00:00Z");
 
@@ -53,8 +53,9 @@
 			Function<HostAddress, CompletableFuture<AttemptResult>> client) {
 		BackendPool pool = new BackendPool(slots, "a", () -> this.now, RandomSource.XO_RO_SHI_RO_128_PP.create(1L));
 		pool.update(IntStream.rangeClosed(1, servers).mapToObj(ServiceRouterTests::host).toList());
-		return new ServiceRouter(pool, (server, request, giveUpAt) -> client.apply(server),
-				new RetryBudget(SHARE, RESERVE), () -> this.now, maximumWaiting, Duration.ofSeconds(1));
+		return new ServiceRouter(pool, (server, request, attemptDeadline) -> client.apply(server),
+				new RetryBudget(RETRIES_PER_REQUEST, RETRY_CAPACITY), () -> this.now, maximumWaiting,
+				Duration.ofSeconds(1));
 	}
 
 	private static Host host(int number) {
@@ -68,21 +69,21 @@
 					"POST", "", List.of(), new byte[0], this.now.plusSeconds(seconds)));
 	}
 
-	private CompletableFuture<RequestOutcome> lookup() {
+	private CompletableFuture<RequestOutcome> routeRepeatable() {
 		return route(true, TrafficClass.DESK, 10);
 	}
 
-	private CompletableFuture<RequestOutcome> confirmation() {
+	private CompletableFuture<RequestOutcome> routeNonRepeatable() {
 		return route(false, TrafficClass.DESK, 10);
 	}
 
-	private void end(int attempt, AttemptResult result) {
+	private void completeAttempt(int attempt, AttemptResult result) {
 		this.attempts.get(attempt).result().complete(result);
 	}
 
 	private static void assertNotRun(CompletableFuture<RequestOutcome> outcome, NotRunReason reason) {
 		assertThat(outcome).isCompletedWithValueMatching(
-				(ended) -> ended instanceof RequestOutcome.NotRun notRun && notRun.reason() == reason);
+				(value) -> value instanceof RequestOutcome.NotRun notRun && notRun.reason() == reason);
 	}
 
 	private static void assertUnknown(CompletableFuture<RequestOutcome> outcome) {
@@ -94,54 +95,54 @@
 	}
 
 	/**
-	 * One attempt on the wire.
+	 * Attempt that has been sent to a server.
 	 *
-	 * @param server where it went
-	 * @param result completed by the test
+	 * @param server the server that it was sent to
+	 * @param result the result, completed by the test
 	 */
 	private record Attempt(HostAddress server, CompletableFuture<AttemptResult> result) {
 
 	}
 
 	@Nested
-	class RequestsThatMayNotBeRepeated {
+	class NonRepeatableRequests {
 
 		@Test
-		void areUnknownAndNotSentAgainWhenTheirAttemptBreaks() {
-			CompletableFuture<RequestOutcome> broken = confirmation();
-			end(0, BROKEN);
-			CompletableFuture<RequestOutcome> silent = confirmation();
-			end(1, new AttemptResult.StaleConnection("timeout"));
-
-			assertUnknown(broken);
-			assertUnknown(silent);
+		void haveAnUnknownOutcomeAndAreNotRetriedWithoutACompleteResponse() {
+			CompletableFuture<RequestOutcome> incomplete = routeNonRepeatable();
+			completeAttempt(0, INCOMPLETE);
+			CompletableFuture<RequestOutcome> stale = routeNonRepeatable();
+			completeAttempt(1, new AttemptResult.StaleConnection("timeout"));
+
+			assertUnknown(incomplete);
+			assertUnknown(stale);
 			assertThat(ServiceRouterTests.this.attempts).hasSize(2);
 		}
 
 		@Test
-		void goElsewhereWhenNothingWasSent() {
-			CompletableFuture<RequestOutcome> outcome = confirmation();
-			end(0, NOT_SENT);
-			end(1, WHOLE);
+		void areSentToAnotherServerWhenNothingWasSent() {
+			CompletableFuture<RequestOutcome> outcome = routeNonRepeatable();
+			completeAttempt(0, NOT_SENT);
+			completeAttempt(1, ANSWERED);
 
 			assertAnswered(outcome);
 			assertThat(ServiceRouterTests.this.attempts).extracting(Attempt::server).doesNotHaveDuplicates();
 		}
 
 		@Test
-		void goElsewhereWhenTheServerRefusedThem() {
-			CompletableFuture<RequestOutcome> outcome = confirmation();
-			end(0, new AttemptResult.Refused(true));
-			end(1, WHOLE);
+		void areSentToAnotherServerWhenTheFirstRefusesThem() {
+			CompletableFuture<RequestOutcome> outcome = routeNonRepeatable();
+			completeAttempt(0, new AttemptResult.Refused(true));
+			completeAttempt(1, ANSWERED);
 
 			assertAnswered(outcome);
 		}
 
 		@Test
 		void areNotRunWhenNoServerCanBeReached() {
-			CompletableFuture<RequestOutcome> outcome = confirmation();
-			for (int attempt = 0; attempt < RESERVE + 1; attempt++) {
-				end(attempt, NOT_SENT);
+			CompletableFuture<RequestOutcome> outcome = routeNonRepeatable();
+			for (int attempt = 0; attempt < RETRY_CAPACITY + 1; attempt++) {
+				completeAttempt(attempt, NOT_SENT);
 			}
 
 			assertNotRun(outcome, NotRunReason.NO_BACKEND_SERVER);
@@ -153,45 +154,45 @@
 	class RepeatableRequests {
 
 		@Test
-		void areAnsweredByAnotherServerWhenAnAttemptBreaks() {
-			CompletableFuture<RequestOutcome> outcome = lookup();
-			end(0, BROKEN);
-			end(1, WHOLE);
+		void areAnsweredByAnotherServerWhenAnAttemptIsIncomplete() {
+			CompletableFuture<RequestOutcome> outcome = routeRepeatable();
+			completeAttempt(0, INCOMPLETE);
+			completeAttempt(1, ANSWERED);
 
 			assertAnswered(outcome);
 		}
 
 		@Test
-		void areUnknownWhenAnEarlierAttemptMayHaveRun() {
-			CompletableFuture<RequestOutcome> outcome = lookup();
-			end(0, BROKEN);
+		void haveAnUnknownOutcomeWhenAnEarlierAttemptMayHaveRun() {
+			CompletableFuture<RequestOutcome> outcome = routeRepeatable();
+			completeAttempt(0, INCOMPLETE);
 			ServiceRouterTests.this.now = ServiceRouterTests.this.now.plusSeconds(11);
-			end(1, NOT_SENT);
+			completeAttempt(1, NOT_SENT);
 
 			assertUnknown(outcome);
 		}
 
 		@Test
-		void areSentAgainBeyondTheBudgetWhenTheirConnectionsHaveGoneSilent() {
-			ServiceRouterTests.this.router = router(3, 2 * RESERVE, 100);
+		void areRetriedOutsideTheBudgetWhenTheirConnectionsAreStale() {
+			ServiceRouterTests.this.router = router(3, 2 * RETRY_CAPACITY, 100);
 			List<CompletableFuture<RequestOutcome>> outcomes = new ArrayList<>();
-			for (int request = 0; request < 2 * RESERVE; request++) {
-				outcomes.add(lookup());
+			for (int request = 0; request < 2 * RETRY_CAPACITY; request++) {
+				outcomes.add(routeRepeatable());
 			}
-			for (int attempt = 0; attempt < 2 * RESERVE; attempt++) {
-				end(attempt, new AttemptResult.StaleConnection("timeout"));
-				end(2 * RESERVE + attempt, WHOLE);
+			for (int attempt = 0; attempt < 2 * RETRY_CAPACITY; attempt++) {
+				completeAttempt(attempt, new AttemptResult.StaleConnection("timeout"));
+				completeAttempt(2 * RETRY_CAPACITY + attempt, ANSWERED);
 			}
 
 			assertThat(outcomes).allSatisfy(ServiceRouterTests::assertAnswered);
 		}
 
 		@Test
-		void goBackToTheOnlyServerInsteadOfWaitingForTheirDeadline() {
+		void areRetriedAtTheOnlyServerInsteadOfWaitingForTheirDeadline() {
 			ServiceRouterTests.this.router = router(1, 1, 100);
-			CompletableFuture<RequestOutcome> outcome = lookup();
-			end(0, BROKEN);
-			end(1, WHOLE);
+			CompletableFuture<RequestOutcome> outcome = routeRepeatable();
+			completeAttempt(0, INCOMPLETE);
+			completeAttempt(1, ANSWERED);
 
 			assertAnswered(outcome);
 		}
@@ -202,17 +203,17 @@
 	class Refusals {
 
 		@Test
-		void comeAtOnceWhenTheDeadlineHasPassed() {
+		void areImmediateWhenTheDeadlineHasPassed() {
 			assertNotRun(route(true, TrafficClass.DESK, 0), NotRunReason.DEADLINE);
 			assertThat(ServiceRouterTests.this.attempts).isEmpty();
 		}
 
 		@Test
-		void comeAtOnceWhenTheQueueTakesLongerThanTheDeadline() {
+		void areImmediateWhenTheExpectedWaitExceedsTheDeadline() {
 			ServiceRouterTests.this.router = router(1, 1, 100);
-			lookup();
+			routeRepeatable();
 			ServiceRouterTests.this.now = ServiceRouterTests.this.now.plusSeconds(2);
-			end(0, WHOLE);
+			completeAttempt(0, ANSWERED);
 			IntStream.range(0, 4).forEach((index) -> route(true, TrafficClass.DESK, 60));
 
 			assertThat(route(true, TrafficClass.APP, 5))
@@ -221,10 +222,10 @@
 		}
 
 		@Test
-		void comeAtTheDeadlineOfARequestThatWaits() {
+		void occurAtTheDeadlineOfAWaitingRequest() {
 			ServiceRouterTests.this.router = router(1, 1, 100);
-			lookup();
-			CompletableFuture<RequestOutcome> waiting = lookup();
+			routeRepeatable();
+			CompletableFuture<RequestOutcome> waiting = routeRepeatable();
 			ServiceRouterTests.this.now = ServiceRouterTests.this.now.plusSeconds(10);
 			ServiceRouterTests.this.router.refuseExpired();
 
@@ -233,21 +234,21 @@
 		}
 
 		@Test
-		void meetTheLastClassFirst() {
+		void affectTheLowestTrafficClassFirst() {
 			ServiceRouterTests.this.router = router(1, 1, 1);
-			lookup();
+			routeRepeatable();
 			CompletableFuture<RequestOutcome> batch = route(true, TrafficClass.BATCH, 10);
-			CompletableFuture<RequestOutcome> desk = lookup();
+			CompletableFuture<RequestOutcome> desk = routeRepeatable();
 
 			assertNotRun(batch, NotRunReason.OVERLOAD);
 			assertThat(desk).isNotDone();
 		}
 
 		@Test
-		void spareRequestsThatFindAFreeSlot() {
+		void doNotAffectRequestsThatFindAFreeSlot() {
 			ServiceRouterTests.this.router = router(1, 1, 0);
 
-			assertThat(lookup()).isNotDone();
+			assertThat(routeRepeatable()).isNotDone();
 			assertThat(ServiceRouterTests.this.attempts).hasSize(1);
 		}
 
@@ -257,26 +258,26 @@
 	class Slots {
 
 		@Test
-		void areGivenBackHoweverAnAttemptEnds() {
-			for (AttemptResult result : List.of(WHOLE, BROKEN, NOT_SENT, new AttemptResult.Refused(false))) {
-				confirmation();
+		void areReleasedAfterEveryKindOfResult() {
+			for (AttemptResult result : List.of(ANSWERED, INCOMPLETE, NOT_SENT, new AttemptResult.Refused(false))) {
+				routeNonRepeatable();
 				int last = ServiceRouterTests.this.attempts.size() - 1;
-				end(last, result);
+				completeAttempt(last, result);
 			}
 			for (int attempt = 0; attempt < ServiceRouterTests.this.attempts.size(); attempt++) {
-				end(attempt, BROKEN);
+				completeAttempt(attempt, INCOMPLETE);
 			}
 
 			assertThat(ServiceRouterTests.this.router.inFlight()).isZero();
 		}
 
 		@Test
-		void areGivenBackWhenTheClientThrows() {
+		void areReleasedWhenTheClientThrows() {
 			ServiceRouterTests.this.router = router(1, 1, 100, (server) -> {
 				throw new IllegalStateException("cannot send");
 			});
 
-			assertUnknown(confirmation());
+			assertUnknown(routeNonRepeatable());
 			assertThat(ServiceRouterTests.this.router.inFlight()).isZero();
 		}
 
@@ -292,20 +293,20 @@
 		private int sent;
 
 		@Test
-		void ofAThirdOfTheServersMultiplyLoadByNoMoreThanTheBudget() {
+		void ofAThirdOfTheServersIncreaseTheLoadByNoMoreThanTheBudget() {
 			ServiceRouterTests.this.router = router(SERVERS, 8, 100, (server) -> {
 				this.sent++;
-				boolean out = server.port() == 80 && Integer.parseInt(server.host().substring(7)) <= SERVERS / 3;
-				boolean flaps = out && this.sent % 3 != 0;
-				return CompletableFuture.completedFuture(flaps ? BROKEN : WHOLE);
+				boolean affected = server.port() == 80 && Integer.parseInt(server.host().substring(7)) <= SERVERS / 3;
+				boolean fails = affected && this.sent % 3 != 0;
+				return CompletableFuture.completedFuture(fails ? INCOMPLETE : ANSWERED);
 			});
 
 			for (int request = 0; request < REQUESTS; request++) {
 				ServiceRouterTests.this.now = ServiceRouterTests.this.now.plusMillis(50);
-				assertThat(lookup()).isDone();
+				assertThat(routeRepeatable()).isDone();
 			}
 
-			assertThat(this.sent).isLessThanOrEqualTo((int) (REQUESTS * (1 + SHARE)) + RESERVE);
+			assertThat(this.sent).isLessThanOrEqualTo((int) (REQUESTS * (1 + RETRIES_PER_REQUEST)) + RETRY_CAPACITY);
 		}
 
 	}
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/routing/package-info.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/routing/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Tests of the routing of callers' requests.
+ * Tests of the routing of caller requests to backend servers.
  */
 package org.monsoonrelay.logic.routing;
