--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/idempotency/IdempotentRequestRouter.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/idempotency/IdempotentRequestRouter.java
@@ -24,18 +24,20 @@
 import org.monsoonrelay.model.request.RequestOutcome;
 
 /**
- * Runs a request with a key at most once over all gateways. Invariants: the key is
- * reserved in the table before the request is routed; only the request whose own write
- * made the reservation is routed; a reservation whose answer was lost is settled by
- * reading back; one that cannot be settled is not run and its key is freed later; a key
- * whose request may have run stays taken. Thread-safe.
+ * Routes requests with an idempotency key such that a request runs at most once across
+ * all gateways. Invariants: the key is reserved in the table before the request is
+ * routed; only the request whose own write made the reservation is routed; if the
+ * response to that write is lost, the row is read again to determine whether the
+ * reservation was made; if this cannot be determined, the request is not routed and its
+ * key is released later; the key of a request that may have run stays reserved.
+ * Thread-safe.
  */
 public final class IdempotentRequestRouter {
 
-	/** How long a key is kept at least. */
+	/** Minimum time for which a key is retained. */
 	public static final Duration RETENTION = Duration.ofHours(24);
 
-	/** The largest answer kept, headers and body. */
+	/** Maximum size of a stored response, headers and body. */
 	public static final int MAXIMUM_ANSWER_BYTES = 2048;
 
 	private static final int MAXIMUM_ATTEMPTS = 8;
@@ -53,11 +55,11 @@
 	private final AtomicInteger pendingWrites = new AtomicInteger();
 
 	/**
-	 * Create the runner.
+	 * Create a router.
 	 * @param table the platform's table
-	 * @param router routes a request whose key is reserved; never fails
+	 * @param router routes a request whose key is reserved; never completes exceptionally
 	 * @param clock the clock
-	 * @param retryAfter when to come back after the table could not be reached
+	 * @param retryAfter delay after which callers may retry a request that was not run
 	 */
 	public IdempotentRequestRouter(TableService table,
 			Function<ForwardedRequest, CompletableFuture<RequestOutcome>> router, InstantSource clock,
@@ -69,24 +71,27 @@
 	}
 
 	/**
-	 * Run a request unless one with the same key has been run or may be running.
-	 * @param key the caller's key
+	 * Route a request unless a request with the same key has run or may be running.
+	 * @param key the caller's idempotency key
 	 * @param request the request
-	 * @return its outcome, or that of the earlier request with the key; never fails
+	 * @return the outcome of the request, or of the earlier request with the same key;
+	 * never completes exceptionally
 	 */
 	public CompletableFuture<RequestOutcome> route(String key, ForwardedRequest request) {
 		RequestKey requestKey = RequestKey.of(key, request);
-		CompletableFuture<Optional<RequestOutcome>> decided = new CompletableFuture<>();
+		CompletableFuture<Optional<RequestOutcome>> reservation = new CompletableFuture<>();
 		reserve(new ReservationAttempt(requestKey, request, MAXIMUM_ATTEMPTS, false))
-			.exceptionally((failure) -> Optional.of(new RequestOutcome.Unknown("the table's row cannot be read")))
+			.exceptionally((failure) -> Optional
+				.of(new RequestOutcome.Unknown("the idempotency record cannot be read from the table")))
 			.thenAccept((earlier) -> {
-				boolean inTime = decided.complete(earlier);
-				if (!inTime && earlier.isEmpty()) {
+				boolean beforeDeadline = reservation.complete(earlier);
+				if (!beforeDeadline && earlier.isEmpty()) {
 					releaseKey(requestKey, request);
 				}
 			});
-		RequestOutcome late = new RequestOutcome.NotRun(NotRunReason.DEADLINE, this.retryAfter);
-		return decided.completeOnTimeout(Optional.of(late), remainingMillis(request), TimeUnit.MILLISECONDS)
+		RequestOutcome deadlinePassed = new RequestOutcome.NotRun(NotRunReason.DEADLINE, this.retryAfter);
+		return reservation
+			.completeOnTimeout(Optional.of(deadlinePassed), remainingMillis(request), TimeUnit.MILLISECONDS)
 			.thenCompose((earlier) -> earlier.map(CompletableFuture::completedFuture)
 				.orElseGet(() -> routeReserved(requestKey, request)));
 	}
@@ -138,10 +143,10 @@
 			return Optional.of(new RequestOutcome.NotRun(NotRunReason.KEY_REUSED, Duration.ZERO));
 		}
 		return Optional.of(switch (found.state()) {
-			case OPEN -> new RequestOutcome.Unknown("an earlier request with this key has no known answer");
+			case OPEN -> new RequestOutcome.Unknown("an earlier request with this key has no known response");
 			case ANSWERED -> found.answer().toOutcome();
 			case ANSWER_NOT_KEPT -> new RequestOutcome.Unknown(
-					"an earlier request with this key ran, and its answer was too large to be kept");
+					"an earlier request with this key ran, but its response was too large to be stored");
 		});
 	}
 
@@ -167,23 +172,23 @@
 
 	private CompletableFuture<RequestOutcome> storeAnswer(RequestKey key, ForwardedRequest request,
 			RequestOutcome.Answered answered) {
-		// Passed on at the deadline at the latest, whether or not it is kept by then.
+		// The response is returned at the deadline at the latest, even if not yet stored.
 		StoredAnswer answer = StoredAnswer.of(answered);
-		RowUpdate change = new RowUpdate(key.row(), (bucket) -> bucket.withUpdatedRecord(request.id(),
+		RowUpdate rowUpdate = new RowUpdate(key.row(), (bucket) -> bucket.withUpdatedRecord(request.id(),
 				(record) -> record.withAnswer(answer, MAXIMUM_ANSWER_BYTES)));
-		return applyOrDelay(change).completeOnTimeout(null, remainingMillis(request), TimeUnit.MILLISECONDS)
-			.thenApply((kept) -> answered);
+		return applyOrDelay(rowUpdate).completeOnTimeout(null, remainingMillis(request), TimeUnit.MILLISECONDS)
+			.thenApply((stored) -> answered);
 	}
 
 	private void releaseKey(RequestKey key, ForwardedRequest request) {
 		applyOrDelay(new RowUpdate(key.row(), (bucket) -> bucket.withoutRecord(request.id())));
 	}
 
-	private CompletableFuture<Void> applyOrDelay(RowUpdate change) {
+	private CompletableFuture<Void> applyOrDelay(RowUpdate rowUpdate) {
 		this.pendingWrites.incrementAndGet();
-		return apply(change, MAXIMUM_ATTEMPTS).handle((done, failure) -> {
+		return apply(rowUpdate, MAXIMUM_ATTEMPTS).handle((done, failure) -> {
 			if (failure != null) {
-				this.delayedUpdates.add(change);
+				this.delayedUpdates.add(rowUpdate);
 			}
 			else {
 				this.pendingWrites.decrementAndGet();
@@ -193,36 +198,37 @@
 	}
 
 	/**
-	 * Write what could not be written before. To be called regularly.
+	 * Retry writes that failed before. Must be called periodically.
 	 */
 	public void retryDelayedWrites() {
-		for (int left = this.delayedUpdates.size(); left > 0; left--) {
-			RowUpdate change = this.delayedUpdates.poll();
-			if (change != null) {
+		for (int remaining = this.delayedUpdates.size(); remaining > 0; remaining--) {
+			RowUpdate rowUpdate = this.delayedUpdates.poll();
+			if (rowUpdate != null) {
 				this.pendingWrites.decrementAndGet();
-				applyOrDelay(change);
+				applyOrDelay(rowUpdate);
 			}
 		}
 	}
 
 	/**
-	 * Number of answers and releases that are not written yet.
-	 * @return the count
+	 * Return the number of responses and key releases that have not been written.
+	 * @return the number of pending writes
 	 */
 	public int pendingWrites() {
 		return this.pendingWrites.get();
 	}
 
-	private CompletableFuture<Void> apply(RowUpdate change, int triesLeft) {
-		// Written also where nothing changes: that makes a reservation on its way fail.
-		if (triesLeft == 0) {
-			return CompletableFuture
-				.failedFuture(new PlatformException("other writes kept coming first: " + change.row(), false, null));
+	private CompletableFuture<Void> apply(RowUpdate rowUpdate, int attemptsLeft) {
+		if (attemptsLeft == 0) {
+			return CompletableFuture.failedFuture(new PlatformException(
+					"update conflicted with concurrent writes on each attempt: " + rowUpdate.row(), false, null));
 		}
-		return this.table.read(change.row())
-			.thenCompose((row) -> writeBucket(change.row(), change.update().apply(readBucket(row)), row))
+		// Writes the row even if it does not change: the new row version makes a delayed
+		// reservation write conflict.
+		return this.table.read(rowUpdate.row())
+			.thenCompose((row) -> writeBucket(rowUpdate.row(), rowUpdate.update().apply(readBucket(row)), row))
 			.thenCompose((result) -> (result instanceof CommitResult.Committed)
-					? CompletableFuture.<Void>completedFuture(null) : apply(change, triesLeft - 1));
+					? CompletableFuture.<Void>completedFuture(null) : apply(rowUpdate, attemptsLeft - 1));
 	}
 
 	private CompletableFuture<CommitResult> writeBucket(String key, KeyBucket bucket, Optional<Row> present) {
@@ -240,27 +246,27 @@
 	}
 
 	/**
-	 * A try at reserving a key.
+	 * State of the attempts to reserve a key.
 	 *
-	 * @param key the key
+	 * @param key the idempotency key
 	 * @param request the request
-	 * @param triesLeft how many tries are left
-	 * @param mayHold whether an earlier try may have taken effect
+	 * @param attemptsLeft number of remaining attempts
+	 * @param mayBeReserved whether an earlier attempt may have taken effect
 	 */
 	private record ReservationAttempt(RequestKey key, ForwardedRequest request, int attemptsLeft,
 			boolean mayBeReserved) {
 
-		ReservationAttempt nextAttempt(boolean mayHoldNow) {
-			return new ReservationAttempt(this.key, this.request, this.attemptsLeft - 1, mayHoldNow);
+		ReservationAttempt nextAttempt(boolean mayBeReservedNow) {
+			return new ReservationAttempt(this.key, this.request, this.attemptsLeft - 1, mayBeReservedNow);
 		}
 
 	}
 
 	/**
-	 * A change of one row that can be applied again.
+	 * Update of a row that can be applied repeatedly.
 	 *
-	 * @param row the row
-	 * @param change the change, idempotent
+	 * @param row the key of the row
+	 * @param update the update, which is idempotent
 	 */
 	private record RowUpdate(String row, UnaryOperator<KeyBucket> update) {
 
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/idempotency/KeyBucket.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/idempotency/KeyBucket.java
@@ -7,10 +7,11 @@
 import java.util.function.UnaryOperator;
 
 /**
- * The keys that share one row of the table, oldest first. The number of rows is fixed, so
- * no row ever has to be deleted: records whose time is over make room for new ones.
- * Invariants: a key stands in it once; the newest records stay whatever the clock says,
- * so that a clock that runs ahead does not forget keys of the last requests. Immutable.
+ * Idempotency key records that share one row of the table, oldest first. The number of
+ * rows is fixed, so rows are never deleted; expired records are removed when new ones are
+ * added. Invariants: each key occurs at most once; the newest records are retained
+ * regardless of the clock, so that a gateway whose clock is fast does not remove the keys
+ * of recent requests. Immutable.
  *
  * @param records the records
  */
@@ -31,30 +32,31 @@
 	}
 
 	/**
-	 * Add a record unless too many are still kept.
+	 * Return a bucket with a record added and expired records removed.
 	 * @param added the record
-	 * @param now the present time
-	 * @return the bucket with the record, or empty if it is full
+	 * @param now the current time
+	 * @return the new bucket, or empty if there are too many records that have not
+	 * expired
 	 */
 	Optional<KeyBucket> withRecord(KeyRecord added, Instant now) {
-		List<KeyRecord> next = new ArrayList<>();
-		int surplus = this.records.size() - MINIMUM_RETAINED_RECORDS;
+		List<KeyRecord> retained = new ArrayList<>();
+		int removable = this.records.size() - MINIMUM_RETAINED_RECORDS;
 		for (KeyRecord record : this.records) {
-			if (surplus-- <= 0 || now.isBefore(record.keepUntil())) {
-				next.add(record);
+			if (removable-- <= 0 || now.isBefore(record.keepUntil())) {
+				retained.add(record);
 			}
 		}
-		next.add(added);
-		return (next.size() <= MAXIMUM_RECORDS) ? Optional.of(new KeyBucket(next)) : Optional.empty();
+		retained.add(added);
+		return (retained.size() <= MAXIMUM_RECORDS) ? Optional.of(new KeyBucket(retained)) : Optional.empty();
 	}
 
 	KeyBucket withoutRecord(String writeId) {
 		return new KeyBucket(this.records.stream().filter((record) -> !record.writeId().equals(writeId)).toList());
 	}
 
-	KeyBucket withUpdatedRecord(String writeId, UnaryOperator<KeyRecord> change) {
+	KeyBucket withUpdatedRecord(String writeId, UnaryOperator<KeyRecord> update) {
 		return new KeyBucket(this.records.stream()
-			.map((record) -> record.writeId().equals(writeId) ? change.apply(record) : record)
+			.map((record) -> record.writeId().equals(writeId) ? update.apply(record) : record)
 			.toList());
 	}
 
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/idempotency/KeyRecord.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/idempotency/KeyRecord.java
@@ -3,15 +3,15 @@
 import java.time.Instant;
 
 /**
- * One recorded key. Immutable.
+ * Stored record of one idempotency key. Immutable.
  *
- * @param key digest of the key
- * @param fingerprint digest of the request that the key belongs to
- * @param writeId identity of the request that reserved the key, by which a reservation
- * whose answer was lost is recognized
- * @param state what is known of the request
- * @param keepUntil until when the key is kept at least
- * @param answer the answer, if it is kept
+ * @param key digest of the service and the idempotency key
+ * @param fingerprint digest of the content of the request that the key belongs to
+ * @param writeId identifier of the request that reserved the key; it identifies the own
+ * reservation if the response to the write was lost
+ * @param state the state of the request
+ * @param keepUntil earliest time at which the record may be removed
+ * @param answer the response, or {@link StoredAnswer#NONE} if none is stored
  */
 public record KeyRecord(String key, String fingerprint, String writeId, KeyState state, Instant keepUntil,
 		StoredAnswer answer) {
@@ -20,10 +20,11 @@
 		return new KeyRecord(key.digest(), key.fingerprint(), writeId, KeyState.OPEN, keepUntil, StoredAnswer.NONE);
 	}
 
-	KeyRecord withAnswer(StoredAnswer whole, int maximumSize) {
-		boolean kept = whole.size() <= maximumSize;
+	KeyRecord withAnswer(StoredAnswer complete, int maximumSize) {
+		boolean stored = complete.size() <= maximumSize;
 		return new KeyRecord(this.key, this.fingerprint, this.writeId,
-				kept ? KeyState.ANSWERED : KeyState.ANSWER_NOT_KEPT, this.keepUntil, kept ? whole : StoredAnswer.NONE);
+				stored ? KeyState.ANSWERED : KeyState.ANSWER_NOT_KEPT, this.keepUntil,
+				stored ? complete : StoredAnswer.NONE);
 	}
 
 }
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/idempotency/KeyState.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/idempotency/KeyState.java
@@ -1,17 +1,20 @@
 package org.monsoonrelay.logic.idempotency;
 
 /**
- * What is known of a request whose key is recorded.
+ * State of the request that a recorded idempotency key belongs to.
  */
 public enum KeyState {
 
-	/** Reserved; the request may be running, may have run, and has no known answer. */
+	/**
+	 * The key is reserved; the request may be running or may have run without a known
+	 * response.
+	 */
 	OPEN,
 
-	/** Answered whole; the answer is kept. */
+	/** The request received a complete response, which is stored. */
 	ANSWERED,
 
-	/** Answered whole; the answer was too large to be kept. */
+	/** The request received a complete response, which was too large to be stored. */
 	ANSWER_NOT_KEPT
 
 }
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/idempotency/RequestKey.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/idempotency/RequestKey.java
@@ -7,11 +7,13 @@
 import org.monsoonrelay.logic.routing.ForwardedRequest;
 
 /**
- * A caller's key and the request it stands for. Keys belong to a service. Immutable.
+ * Idempotency key of a caller together with the request that it identifies. Keys are
+ * scoped to a service. Immutable.
  *
- * @param row key of the row that holds it
- * @param digest digest of service and key
- * @param fingerprint digest of what is asked for
+ * @param row key of the table row that holds the record
+ * @param digest digest of the service and the idempotency key
+ * @param fingerprint digest of the content of the request, used to detect that a key is
+ * reused for a different request
  */
 record RequestKey(String row, String digest, String fingerprint) {
 
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/idempotency/StoredAnswer.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/idempotency/StoredAnswer.java
@@ -6,16 +6,16 @@
 import org.monsoonrelay.model.request.RequestOutcome.HeaderLine;
 
 /**
- * A backend server's whole answer as it is kept for repeats. Immutable by convention: the
- * body is not changed once it is stored.
+ * Complete response of a backend server, stored for repeated requests with the same key.
+ * Immutable by convention: the body array must not be modified.
  *
- * @param status the status, 0 if there is no answer
- * @param headers the headers
- * @param body the whole body
+ * @param status the HTTP status code, 0 if there is no response
+ * @param headers the response headers
+ * @param body the complete response body
  */
 public record StoredAnswer(int status, List<HeaderLine> headers, byte[] body) {
 
-	/** No answer. */
+	/** Placeholder for a response that is unknown or not stored. */
 	public static final StoredAnswer NONE = new StoredAnswer(0, List.of(), new byte[0]);
 
 	public StoredAnswer {
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/idempotency/package-info.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/idempotency/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Keys of requests that may not be repeated, kept in the platform's table.
+ * Idempotency keys of requests that are not repeatable, stored in the platform's table.
  */
 package org.monsoonrelay.logic.idempotency;
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/idempotency/FakeTable.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/idempotency/FakeTable.java
@@ -16,7 +16,7 @@
 import org.monsoonrelay.logic.platform.TableService;
 
 /**
- * A table in memory whose next calls can be made to fail. Each call takes effect when the
+ * In-memory table that can inject faults into calls. Each call takes effect when the
  * executor runs it.
  */
 final class FakeTable implements TableService {
@@ -35,13 +35,13 @@
 		this.executor = executor;
 	}
 
-	void setFaults(Supplier<Fault> next) {
-		this.faults = next;
+	void setFaults(Supplier<Fault> supplier) {
+		this.faults = supplier;
 	}
 
 	/**
-	 * Let the held write take effect at last.
-	 * @return what became of it
+	 * Apply the most recent held write.
+	 * @return the result of the commit
 	 */
 	CommitResult applyHeldWrites() {
 		return apply(this.heldWrites);
@@ -101,20 +101,20 @@
 	}
 
 	/**
-	 * What happens to a call.
+	 * Fault injected into a call.
 	 */
 	enum Fault {
 
-		/** It takes effect and is answered. */
+		/** The call takes effect and is answered. */
 		NONE,
 
-		/** It takes effect and its answer is lost. */
+		/** The call takes effect, but its response is lost. */
 		ANSWER_LOST,
 
-		/** It takes no effect and is not answered. */
+		/** The call has no effect and is not answered. */
 		DOWN,
 
-		/** It is not answered and takes effect later. */
+		/** The call is not answered; a write takes effect later. */
 		HELD
 
 	}
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/idempotency/IdempotentRequestRouterTests.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/idempotency/IdempotentRequestRouterTests.java
@@ -35,23 +35,23 @@
 
 	private final FakeTable table = new FakeTable(Runnable::run);
 
-	private final List<String> run = new ArrayList<>();
+	private final List<String> routedIds = new ArrayList<>();
 
-	private RequestOutcome next = answered("done");
+	private RequestOutcome nextOutcome = answered("done");
 
-	private final IdempotentRequestRouter gateway = gateway();
+	private final IdempotentRequestRouter gateway = createGateway();
 
-	private final IdempotentRequestRouter other = gateway();
+	private final IdempotentRequestRouter otherGateway = createGateway();
 
-	private IdempotentRequestRouter gateway() {
+	private IdempotentRequestRouter createGateway() {
 		return new IdempotentRequestRouter(this.table, (request) -> {
-			this.run.add(request.id());
-			return CompletableFuture.completedFuture(this.next);
+			this.routedIds.add(request.id());
+			return CompletableFuture.completedFuture(this.nextOutcome);
 		}, () -> this.now, RETRY_AFTER);
 	}
 
-	private RequestOutcome route(IdempotentRequestRouter through, String id, String key, String body) {
-		return through.route(key, request(id, body)).join();
+	private RequestOutcome route(IdempotentRequestRouter router, String id, String key, String body) {
+		return router.route(key, request(id, body)).join();
 	}
 
 	private ForwardedRequest request(String id, String body) {
@@ -59,9 +59,9 @@
 				List.of(), body.getBytes(StandardCharsets.UTF_8), this.now.plusSeconds(60));
 	}
 
-	private void fail(Fault... faults) {
-		Iterator<Fault> coming = Arrays.asList(faults).iterator();
-		this.table.setFaults(() -> coming.hasNext() ? coming.next() : Fault.NONE);
+	private void setFaults(Fault... faults) {
+		Iterator<Fault> remaining = Arrays.asList(faults).iterator();
+		this.table.setFaults(() -> remaining.hasNext() ? remaining.next() : Fault.NONE);
 	}
 
 	private static RequestOutcome answered(String body) {
@@ -82,49 +82,50 @@
 	class Repeats {
 
 		@Test
-		void getTheStoredAnswerThroughAnotherGateway() {
+		void receiveTheStoredAnswerThroughAnotherGateway() {
 			assertAnswered(route(IdempotentRequestRouterTests.this.gateway, "one", "key", "a"), "done");
-			assertAnswered(route(IdempotentRequestRouterTests.this.other, "two", "key", "a"), "done");
+			assertAnswered(route(IdempotentRequestRouterTests.this.otherGateway, "two", "key", "a"), "done");
 
-			assertThat(IdempotentRequestRouterTests.this.run).containsExactly("one");
+			assertThat(IdempotentRequestRouterTests.this.routedIds).containsExactly("one");
 		}
 
 		@Test
-		void areUnknownWhileTheOutcomeIsOpen() {
-			IdempotentRequestRouterTests.this.next = UNKNOWN;
+		void haveAnUnknownOutcomeWhileTheFirstRequestIsOpen() {
+			IdempotentRequestRouterTests.this.nextOutcome = UNKNOWN;
 			route(IdempotentRequestRouterTests.this.gateway, "one", "key", "a");
 
-			assertThat(route(IdempotentRequestRouterTests.this.other, "two", "key", "a"))
+			assertThat(route(IdempotentRequestRouterTests.this.otherGateway, "two", "key", "a"))
 				.isInstanceOf(RequestOutcome.Unknown.class);
-			assertThat(IdempotentRequestRouterTests.this.run).containsExactly("one");
+			assertThat(IdempotentRequestRouterTests.this.routedIds).containsExactly("one");
 		}
 
 		@Test
 		void runWhenTheFirstWasNotRun() {
-			IdempotentRequestRouterTests.this.next = NOT_RUN;
+			IdempotentRequestRouterTests.this.nextOutcome = NOT_RUN;
 			route(IdempotentRequestRouterTests.this.gateway, "one", "key", "a");
-			IdempotentRequestRouterTests.this.next = answered("later");
+			IdempotentRequestRouterTests.this.nextOutcome = answered("later");
 
-			assertAnswered(route(IdempotentRequestRouterTests.this.other, "two", "key", "a"), "later");
+			assertAnswered(route(IdempotentRequestRouterTests.this.otherGateway, "two", "key", "a"), "later");
 		}
 
 		@Test
-		void areRefusedWhenTheyAskForSomethingElse() {
+		void areRefusedWhenTheirContentDiffers() {
 			route(IdempotentRequestRouterTests.this.gateway, "one", "key", "a");
 
-			assertNotRun(route(IdempotentRequestRouterTests.this.other, "two", "key", "b"), NotRunReason.KEY_REUSED);
-			assertThat(IdempotentRequestRouterTests.this.run).containsExactly("one");
+			assertNotRun(route(IdempotentRequestRouterTests.this.otherGateway, "two", "key", "b"),
+					NotRunReason.KEY_REUSED);
+			assertThat(IdempotentRequestRouterTests.this.routedIds).containsExactly("one");
 		}
 
 		@Test
-		void areUnknownWhenTheAnswerWasTooLargeToKeep() {
-			IdempotentRequestRouterTests.this.next = answered(
+		void haveAnUnknownOutcomeWhenTheAnswerWasTooLargeToStore() {
+			IdempotentRequestRouterTests.this.nextOutcome = answered(
 					"x".repeat(IdempotentRequestRouter.MAXIMUM_ANSWER_BYTES + 1));
 			route(IdempotentRequestRouterTests.this.gateway, "one", "key", "a");
 
-			assertThat(route(IdempotentRequestRouterTests.this.other, "two", "key", "a"))
+			assertThat(route(IdempotentRequestRouterTests.this.otherGateway, "two", "key", "a"))
 				.isInstanceOf(RequestOutcome.Unknown.class);
-			assertThat(IdempotentRequestRouterTests.this.run).containsExactly("one");
+			assertThat(IdempotentRequestRouterTests.this.routedIds).containsExactly("one");
 		}
 
 	}
@@ -133,56 +134,56 @@
 	class TableFailures {
 
 		@Test
-		void leaveTheRequestNotRunWhenTheTableIsDown() {
-			fail(Fault.DOWN);
+		void preventTheRequestFromRunningWhenTheTableIsDown() {
+			setFaults(Fault.DOWN);
 
 			RequestOutcome outcome = route(IdempotentRequestRouterTests.this.gateway, "one", "key", "a");
 
 			assertThat(outcome).isEqualTo(new RequestOutcome.NotRun(NotRunReason.PLATFORM_UNAVAILABLE, RETRY_AFTER));
-			assertThat(IdempotentRequestRouterTests.this.run).isEmpty();
+			assertThat(IdempotentRequestRouterTests.this.routedIds).isEmpty();
 		}
 
 		@Test
-		void areSettledByReadingBackWhenTheReservationsAnswerIsLost() {
-			fail(Fault.NONE, Fault.ANSWER_LOST);
+		void areResolvedByReadingTheRowWhenTheResponseToAReservationIsLost() {
+			setFaults(Fault.NONE, Fault.ANSWER_LOST);
 
 			assertAnswered(route(IdempotentRequestRouterTests.this.gateway, "one", "key", "a"), "done");
-			assertThat(IdempotentRequestRouterTests.this.run).containsExactly("one");
+			assertThat(IdempotentRequestRouterTests.this.routedIds).containsExactly("one");
 		}
 
 		@Test
-		void freeTheKeyLaterWhenTheReservationCannotBeReadBack() {
-			fail(Fault.NONE, Fault.ANSWER_LOST, Fault.DOWN, Fault.DOWN);
+		void releaseTheKeyLaterWhenTheReservationCannotBeReadBack() {
+			setFaults(Fault.NONE, Fault.ANSWER_LOST, Fault.DOWN, Fault.DOWN);
 			assertNotRun(route(IdempotentRequestRouterTests.this.gateway, "one", "key", "a"),
 					NotRunReason.PLATFORM_UNAVAILABLE);
 			assertThat(IdempotentRequestRouterTests.this.gateway.pendingWrites()).isOne();
 
 			IdempotentRequestRouterTests.this.gateway.retryDelayedWrites();
 
-			assertAnswered(route(IdempotentRequestRouterTests.this.other, "two", "key", "a"), "done");
-			assertThat(IdempotentRequestRouterTests.this.run).containsExactly("two");
+			assertAnswered(route(IdempotentRequestRouterTests.this.otherGateway, "two", "key", "a"), "done");
+			assertThat(IdempotentRequestRouterTests.this.routedIds).containsExactly("two");
 			assertThat(IdempotentRequestRouterTests.this.gateway.pendingWrites()).isZero();
 		}
 
 		@Test
-		void stopAReservationThatArrivesAfterItWasGivenUp() {
-			fail(Fault.NONE, Fault.HELD, Fault.DOWN);
+		void rejectADelayedReservationThatWasAbandoned() {
+			setFaults(Fault.NONE, Fault.HELD, Fault.DOWN);
 			assertNotRun(route(IdempotentRequestRouterTests.this.gateway, "one", "key", "a"),
 					NotRunReason.PLATFORM_UNAVAILABLE);
 
 			assertThat(IdempotentRequestRouterTests.this.table.applyHeldWrites())
 				.isInstanceOf(CommitResult.Conflict.class);
-			assertAnswered(route(IdempotentRequestRouterTests.this.other, "two", "key", "a"), "done");
+			assertAnswered(route(IdempotentRequestRouterTests.this.otherGateway, "two", "key", "a"), "done");
 		}
 
 		@Test
-		void doNotKeepTheAnswerFromTheCaller() {
-			fail(Fault.NONE, Fault.NONE, Fault.DOWN);
+		void doNotWithholdTheAnswerFromTheCaller() {
+			setFaults(Fault.NONE, Fault.NONE, Fault.DOWN);
 			assertAnswered(route(IdempotentRequestRouterTests.this.gateway, "one", "key", "a"), "done");
 			IdempotentRequestRouterTests.this.gateway.retryDelayedWrites();
 
-			assertAnswered(route(IdempotentRequestRouterTests.this.other, "two", "key", "a"), "done");
-			assertThat(IdempotentRequestRouterTests.this.run).containsExactly("one");
+			assertAnswered(route(IdempotentRequestRouterTests.this.otherGateway, "two", "key", "a"), "done");
+			assertThat(IdempotentRequestRouterTests.this.routedIds).containsExactly("one");
 		}
 
 	}
@@ -195,22 +196,22 @@
 		private static final int REQUESTS = 6;
 
 		@Test
-		void neverRunARequestTwiceWhateverFails() {
+		void neverRunARequestTwice() {
 			for (int seed = 0; seed < SEEDS; seed++) {
 				Race race = new Race(new SplittableRandom(seed));
 
 				race.run(REQUESTS);
 
 				assertThat(race.mayHaveRun).as("seed %d", seed).hasSizeLessThanOrEqualTo(1);
-				assertThat(race.mayHaveRun).as("seed %d", seed).allMatch((id) -> !race.toldNotRun.contains(id));
+				assertThat(race.mayHaveRun).as("seed %d", seed).allMatch((id) -> !race.reportedNotRun.contains(id));
 			}
 		}
 
 	}
 
 	/**
-	 * Requests with one key through as many gateways, in an order and with failures that
-	 * a seed decides.
+	 * Sends requests with the same key through different gateways. The random generator
+	 * determines the order of the steps and the faults of the table.
 	 */
 	private final class Race {
 
@@ -220,7 +221,7 @@
 
 		private final List<String> mayHaveRun = new ArrayList<>();
 
-		private final List<String> toldNotRun = new ArrayList<>();
+		private final List<String> reportedNotRun = new ArrayList<>();
 
 		private final List<IdempotentRequestRouter> gateways = new ArrayList<>();
 
@@ -233,13 +234,13 @@
 			FakeTable shared = new FakeTable(anyOrder);
 			shared.setFaults(() -> Fault.values()[Math.max(0, this.random.nextInt(10) - 6)]);
 			for (int index = 0; index < requests; index++) {
-				IdempotentRequestRouter through = new IdempotentRequestRouter(shared, this::send,
+				IdempotentRequestRouter router = new IdempotentRequestRouter(shared, this::send,
 						() -> IdempotentRequestRouterTests.this.now, RETRY_AFTER);
-				this.gateways.add(through);
+				this.gateways.add(router);
 				String id = "request-" + index;
-				this.pending.add(() -> through.route("key", request(id, "a")).thenAccept((outcome) -> {
+				this.pending.add(() -> router.route("key", request(id, "a")).thenAccept((outcome) -> {
 					if (outcome instanceof RequestOutcome.NotRun) {
-						this.toldNotRun.add(id);
+						this.reportedNotRun.add(id);
 					}
 				}));
 			}
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/idempotency/KeyBucketTests.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/idempotency/KeyBucketTests.java
@@ -26,14 +26,14 @@
 	}
 
 	@Test
-	void takesNoKeyWhileItIsFullOfKeysThatAreKept() {
+	void rejectsARecordWhileItIsFullOfUnexpiredRecords() {
 		KeyBucket full = bucket(KeyBucket.MAXIMUM_RECORDS, NOW.plusSeconds(1));
 
 		assertThat(full.withRecord(record(100, NOW), NOW)).isEmpty();
 	}
 
 	@Test
-	void forgetsTheOldestKeysOnceTheirTimeIsOver() {
+	void removesTheOldestRecordsOnceTheyHaveExpired() {
 		KeyBucket full = bucket(KeyBucket.MAXIMUM_RECORDS, NOW);
 
 		Optional<KeyBucket> next = full.withRecord(record(100, NOW), NOW);
@@ -43,7 +43,7 @@
 	}
 
 	@Test
-	void keepsItsNewestKeysWhenAClockRunsAhead() {
+	void retainsTheNewestRecordsWhenTheClockIsFast() {
 		KeyBucket few = bucket(KeyBucket.MINIMUM_RETAINED_RECORDS, NOW);
 
 		KeyBucket next = few.withRecord(record(100, NOW), Instant.MAX).orElseThrow();
@@ -52,7 +52,7 @@
 	}
 
 	@Test
-	void survivesTheTable() {
+	void canBeWrittenToJsonAndReadBack() {
 		KeyBucket bucket = bucket(2, NOW);
 
 		assertThat(Json.read(Json.write(bucket), KeyBucket.class).find("key-1")).isPresent();
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/idempotency/package-info.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/idempotency/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Tests of the keys of requests that may not be repeated.
+ * Tests of the idempotency keys of requests that are not repeatable.
  */
 package org.monsoonrelay.logic.idempotency;
