--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/rack/Rack.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/rack/Rack.java
@@ -55,22 +55,23 @@
 	RackSummary summary(WorkerHealth health) {
 		Resources capacity = Resources.NONE;
 		Resources free = Resources.NONE;
-		int largest = 0;
+		int largestFreeProcessors = 0;
 		List<Worker> usable = usableWorkers(health);
 		for (Worker worker : usable) {
 			capacity = capacity.plus(worker.capacity());
 			free = free.plus(worker.free());
-			largest = Math.max(largest, worker.free().processors());
+			largestFreeProcessors = Math.max(largestFreeProcessors, worker.free().processors());
 		}
 		String domain = this.workers.values()
 			.stream()
 			.findFirst()
 			.map((tracked) -> tracked.host().failureDomain())
 			.orElse("");
-		boolean settled = this.workers.values()
+		boolean allReportedOrUnresponsive = this.workers.values()
 			.stream()
 			.allMatch((tracked) -> tracked.worker().isReported() || tracked.isUnresponsive());
-		return new RackSummary(this.name, domain, this.epoch, usable.size(), capacity, free, largest, settled);
+		return new RackSummary(this.name, domain, this.epoch, usable.size(), capacity, free, largestFreeProcessors,
+				allReportedOrUnresponsive);
 	}
 
 	TrackedWorker worker(WorkerId worker) {
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/routing/RefusalBackoff.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/routing/RefusalBackoff.java
@@ -6,7 +6,7 @@
  * Backoff after a server has refused a request because it is full. During the delay, the
  * server is given no more requests than it had in flight when it refused. The normal
  * delay applies while the cell is busy for short periods. The longer overload delay
- * applies when refusals outnumber responses and have used up the budget, so that an
+ * applies once refusals have used up the budget, which responses replenish, so that an
  * overload does not make the servers spend their capacity on refusals. Immutable.
  *
  * @param normalDelay the delay while the budget is not used up
