--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/ActiveStep.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/ActiveStep.java
@@ -11,9 +11,10 @@
 import org.monsoonrelay.model.submission.SubmittedJob;
 
 /**
- * A step whose tasks may run, with the runs that may be alive. Invariants: at most one
- * run of a task may be alive; a gang starts only when no run of an earlier attempt may be
- * alive; attempts of a task only rise. Not thread-safe: confined to the control thread.
+ * A step with tasks that can be scheduled, together with its runs that may still be
+ * active. Invariants: each task has at most one run that may be active; a gang starts
+ * only when no run of an earlier attempt may be active; attempt numbers of a task only
+ * increase. Not thread-safe: confined to the control thread.
  */
 final class ActiveStep {
 
@@ -41,7 +42,7 @@
 
 	private long lastSearchedChange = NOT_SEARCHED;
 
-	private long lastFullSearchNanos;
+	private long fullSearchNanos;
 
 	private boolean holdingCapacity;
 
@@ -59,7 +60,7 @@
 	}
 
 	/**
-	 * Whether steps of the job wait for this one.
+	 * Whether other steps of the job depend on this one.
 	 * @return {@code true} if so
 	 */
 	boolean hasDependents() {
@@ -67,44 +68,45 @@
 	}
 
 	/**
-	 * The step as the order of the queue sees it.
-	 * @return the view
+	 * The attributes of the step that determine its position in the queue.
+	 * @return the queue entry
 	 */
 	QueueEntry queueEntry() {
 		return this.queueEntry;
 	}
 
 	/**
-	 * Note that no worker had room for a task of the step.
-	 * @param changes number of the last change of a worker before the search
-	 * @param allNanos when all workers were searched last
+	 * Records that no worker had free capacity for a task of the step.
+	 * @param changes number of the latest worker change before the search
+	 * @param fullSearchNanos when all workers were last searched
 	 */
-	void recordFailedSearch(long changes, long allNanos) {
+	void recordFailedSearch(long changes, long fullSearchNanos) {
 		this.lastSearchedChange = changes;
-		this.lastFullSearchNanos = allNanos;
+		this.fullSearchNanos = fullSearchNanos;
 	}
 
 	/**
-	 * Search all workers next time: it may have become known that others are eligible.
+	 * Makes the next search cover all workers, because more of them may have become
+	 * eligible.
 	 */
 	void resetSearch() {
 		this.lastSearchedChange = NOT_SEARCHED;
 	}
 
 	/**
-	 * Number of the last change of a worker that the last search in vain knew.
-	 * @return the number, negative if all workers have to be searched
+	 * Number of the latest worker change that the last failed search covered.
+	 * @return the change number, negative if all workers have to be searched
 	 */
 	long lastSearchedChange() {
 		return this.lastSearchedChange;
 	}
 
-	long lastFullSearchNanos() {
-		return this.lastFullSearchNanos;
+	long fullSearchNanos() {
+		return this.fullSearchNanos;
 	}
 
 	/**
-	 * Whether workers may hold room for the step until its tickets are renewed.
+	 * Whether workers may hold capacity for the step until its tickets are renewed.
 	 * @return {@code true} if so
 	 */
 	boolean isHoldingCapacity() {
@@ -120,8 +122,8 @@
 	}
 
 	/**
-	 * Tasks that may be started now.
-	 * @return their numbers; for a gang all or none
+	 * Tasks that can be started now.
+	 * @return indexes of the tasks; for a gang all of them or none
 	 */
 	List<Integer> waitingTasks() {
 		if (this.job.isEnded() || progress().isComplete() || (this.spec.gang() && !isIdle()) || !isReady()) {
@@ -136,7 +138,7 @@
 		return waiting;
 	}
 
-	// What is done stays done.
+	// Satisfied dependencies stay satisfied, so the result is cached.
 	private boolean isReady() {
 		this.ready = this.ready || this.job.isReady(this.key);
 		return this.ready;
@@ -152,7 +154,7 @@
 	}
 
 	/**
-	 * The attempt that a start of tasks has to carry; those of a gang share it.
+	 * Attempt number for the next start of a task; the tasks of a gang share one.
 	 * @param index the task
 	 * @return the next attempt
 	 */
@@ -172,16 +174,16 @@
 	}
 
 	/**
-	 * Note that an attempt was used, so that the next one is higher.
+	 * Records that an attempt number was used, so that the next one is higher.
 	 * @param index the task
-	 * @param attempt the attempt
+	 * @param attempt the attempt number
 	 */
 	void recordAttempt(int index, int attempt) {
 		this.attempts[index] = Math.max(this.attempts[index], attempt);
 	}
 
 	/**
-	 * Note that a run is over.
+	 * Removes a run that has ended.
 	 * @param run the run
 	 */
 	void removeRun(Run run) {
@@ -196,9 +198,9 @@
 	}
 
 	/**
-	 * The worker on which a task failed last.
+	 * The worker on which a task failed most recently.
 	 * @param index the task
-	 * @return the worker's id, empty if it has not failed
+	 * @return the worker's id, empty if the task has not failed
 	 */
 	String lastFailedWorker(int index) {
 		return (this.lastFailedWorkers[index] != null) ? this.lastFailedWorkers[index] : "";
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/EligibilityCallLoad.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/EligibilityCallLoad.java
@@ -9,13 +9,16 @@
 import org.monsoonrelay.model.submission.EligibilityTimes;
 
 /**
- * The host time that calls for eligibility of each kind took lately, as an exponentially
- * weighted mean. Kinds are kept for the owner's term. Invariant: the loads are those at
- * the time of the last call noted. Not thread-safe: confined to the control thread.
+ * Exponentially weighted mean of the number of hosts that each kind of eligibility call
+ * keeps busy. Kinds are kept for the owner's term. Invariant: the stored loads are those
+ * at the time of the last recorded call. Not thread-safe: confined to the control thread.
  */
 final class EligibilityCallLoad {
 
-	/** Time constant of the mean, milliseconds; a few of the dearest calls. */
+	/**
+	 * Time constant of the mean, in milliseconds: the duration of a few of the most
+	 * expensive calls.
+	 */
 	private static final double WINDOW_MILLIS = 2000;
 
 	private final Map<EligibilityTimes, Double> loads = new HashMap<>();
@@ -25,7 +28,7 @@
 	private long lastCallNanos;
 
 	/**
-	 * Begin to observe.
+	 * Starts the observation.
 	 * @param nowNanos the current time
 	 */
 	EligibilityCallLoad(long nowNanos) {
@@ -34,28 +37,28 @@
 	}
 
 	/**
-	 * Note that calls of a kind may come.
-	 * @param kind what they cost
+	 * Registers a kind of call.
+	 * @param kind the costs of its calls
 	 */
 	void addKind(EligibilityTimes kind) {
 		this.loads.putIfAbsent(kind, 0.0);
 	}
 
 	/**
-	 * Note a call.
-	 * @param kind its kind
-	 * @param costMillis how long it takes a host
+	 * Records a call.
+	 * @param kind the kind of call
+	 * @param costMillis how long it occupies a host, milliseconds
 	 * @param nowNanos the current time
 	 */
 	void recordCall(EligibilityTimes kind, double costMillis, long nowNanos) {
-		double left = decay(this.lastCallNanos, nowNanos);
-		this.loads.replaceAll((other, load) -> load * left);
+		double factor = decay(this.lastCallNanos, nowNanos);
+		this.loads.replaceAll((other, load) -> load * factor);
 		this.loads.merge(kind, costMillis / WINDOW_MILLIS, Double::sum);
 		this.lastCallNanos = nowNanos;
 	}
 
 	/**
-	 * Kinds of calls that may come.
+	 * The registered kinds of calls.
 	 * @return the kinds
 	 */
 	Set<EligibilityTimes> kinds() {
@@ -63,8 +66,8 @@
 	}
 
 	/**
-	 * How many hosts calls kept busy on the mean.
-	 * @param kinds tells the kinds to count
+	 * Mean number of hosts that calls kept busy.
+	 * @param kinds selects the kinds to count
 	 * @param nowNanos the current time
 	 * @return the mean number of hosts, in erlangs
 	 */
@@ -79,9 +82,9 @@
 	}
 
 	/**
-	 * How little is known yet.
+	 * Share of the averaging window that precedes the start of the observation.
 	 * @param nowNanos the current time
-	 * @return 1 at the beginning, falling to 0
+	 * @return 1 at the start, falling towards 0
 	 */
 	double unobservedShare(long nowNanos) {
 		return decay(this.startNanos, nowNanos);
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/EligibilityHostSelector.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/EligibilityHostSelector.java
@@ -11,34 +11,42 @@
 import org.monsoonrelay.model.submission.EligibilityTimes;
 
 /**
- * Chooses the host that makes a call for eligibility. The service answers one call of a
- * host at a time, so that a cheap call must not stand behind a dear one. A call leaves as
- * many hosts to the kinds that cost half of it or less as square-root staffing gives for
- * the host time that these took lately, and takes any other host that is idle. Answers
- * loads in which dear calls come faster than a fixed share of the hosts can make them
- * while the hosts kept for cheap calls are idle. Invariant: half of the hosts, rounded
- * up, are open to every call. Not thread-safe: confined to the control thread.
+ * Selects the host that makes a call to the eligibility service. The service answers one
+ * call per host at a time, so a cheap call must not queue behind an expensive one. A call
+ * leaves hosts free for the kinds of calls that cost at most half as much: as many as
+ * square-root staffing yields for the host time that those kinds used recently. It may
+ * use any other idle host. With a fixed split of the hosts, those reserved for cheap
+ * calls would be idle while expensive calls arrive faster than the remaining hosts can
+ * make them. Invariant: at least half of the hosts, rounded up, are available to every
+ * kind of call. Not thread-safe: confined to the control thread.
  */
 final class EligibilityHostSelector {
 
 	/**
-	 * A call up to this may wait behind others of up to this together, milliseconds: a
-	 * peer that is asked instead is hardly sooner.
+	 * Longest call that may queue on a busy host, and the most outstanding work that it
+	 * may queue behind, in milliseconds: another host would hardly be faster.
 	 */
 	static final double SHORT_CALL_MILLIS = 40;
 
-	/** Hosts kept beyond the mean load, in square roots of it: lets few calls wait. */
+	/**
+	 * Hosts reserved beyond the mean load, in square roots of that load, so that few
+	 * calls have to wait.
+	 */
 	private static final double STAFFING_FACTOR = 2;
 
-	/** A kind of calls is cheaper than another if this many fit into its time. */
+	/**
+	 * A kind of call is cheaper than another if this many of its calls fit into the time
+	 * of one of the other.
+	 */
 	private static final double CHEAPER_FACTOR = 2;
 
-	/** Most hosts kept for cheaper calls, as a share of all. */
+	/** Largest share of the hosts that is reserved for cheaper calls. */
 	private static final double MAX_RESERVED_SHARE = 0.5;
 
 	/**
-	 * How long a host is left out after a failed call, milliseconds; twice as long after
-	 * further ones. Longer pauses starved long calls while hosts restarted in turn.
+	 * How long a host is avoided after a failed call, in milliseconds; doubled after
+	 * consecutive failures. Longer backoffs starved long calls while hosts restarted one
+	 * after another.
 	 */
 	private static final long FAILURE_BACKOFF_MILLIS = 1500;
 
@@ -46,11 +54,11 @@
 
 	private static final double MICROS_PER_MILLI = 1000;
 
-	// Whole microseconds: sums of fractions leave a rest that would keep a host busy for
-	// good.
+	// Whole microseconds: rounding errors in sums of fractions would leave a remainder
+	// that marks the host as busy forever.
 	private final Map<String, Long> outstandingMicros = new HashMap<>();
 
-	// The dearest kind of call that a host makes now.
+	// The most expensive kind of call that each host is making.
 	private final Map<String, EligibilityTimes> costliestKinds = new HashMap<>();
 
 	private final Map<String, Long> avoidedUntilNanos = new HashMap<>();
@@ -62,7 +70,7 @@
 	private List<String> hosts = List.of();
 
 	/**
-	 * Begin without hosts.
+	 * Creates a selector without hosts.
 	 * @param nowNanos the current time
 	 */
 	EligibilityHostSelector(long nowNanos) {
@@ -70,16 +78,16 @@
 	}
 
 	/**
-	 * Note that calls of a kind may come, for which hosts are kept.
-	 * @param kind what they cost
+	 * Registers a kind of call, so that hosts are reserved for it.
+	 * @param kind the costs of its calls
 	 */
 	void addKind(EligibilityTimes kind) {
 		this.load.addKind(kind);
 	}
 
 	/**
-	 * Name the hosts that can make calls.
-	 * @param available the hosts, those for short calls first
+	 * Replaces the hosts that can make calls.
+	 * @param available the hosts, those preferred for short calls first
 	 */
 	void updateHosts(List<String> available) {
 		this.hosts = List.copyOf(available);
@@ -88,7 +96,7 @@
 	}
 
 	/**
-	 * Use a host again that has started anew.
+	 * Makes a restarted host available again at once.
 	 * @param host the host
 	 */
 	void hostRestarted(String host) {
@@ -97,12 +105,12 @@
 	}
 
 	/**
-	 * Choose a host for a call now. Dear calls take hosts from the end of the list, so
-	 * that the first ones, which are nearest, serve cheap ones.
-	 * @param kind its kind
-	 * @param costMillis how long the service takes
+	 * Selects a host for a call that is made now. Expensive calls use hosts from the end
+	 * of the list, so that the first hosts, which are nearest, serve cheap calls.
+	 * @param kind the kind of call
+	 * @param costMillis expected duration of the call, milliseconds
 	 * @param nowNanos the current time
-	 * @return the host, empty if the call had better wait
+	 * @return the host, empty if the call should wait
 	 */
 	Optional<String> select(EligibilityTimes kind, double costMillis, long nowNanos) {
 		List<String> usable = new ArrayList<>();
@@ -116,7 +124,7 @@
 		}
 		boolean isCheapest = this.load.kinds().stream().noneMatch((other) -> isCheaper(other, kind));
 		if (!isCheapest) {
-			if (usable.size() - hostsReservedForCheaper(kind, usable.size(), nowNanos) <= hostsWithNoCheaperCall(kind,
+			if (usable.size() - hostsReservedForCheaper(kind, usable.size(), nowNanos) <= busyHostsAtOrAbove(kind,
 					usable)) {
 				return Optional.empty();
 			}
@@ -126,13 +134,13 @@
 	}
 
 	/**
-	 * Where a kind of calls stands among those that wait: kinds that leave half of the
-	 * hosts to the others come first, the cheapest before the rest, as they hardly take
-	 * from the others.
-	 * @param kind the kind
+	 * Position of a kind of call among those that wait for a host. Kinds that leave half
+	 * of the hosts to the others come first, in order of cost, because they hardly delay
+	 * the others.
+	 * @param kind the kind of call
 	 * @param nowNanos the current time
-	 * @return the place, 0 first, the same for all kinds whose calls come in the order of
-	 * the queue
+	 * @return the position, 0 is first; all kinds whose calls are sent in queue order
+	 * have the same one
 	 */
 	int precedence(EligibilityTimes kind, long nowNanos) {
 		double busy = this.load.busyHosts((other) -> !isCheaper(kind, other), nowNanos);
@@ -143,20 +151,20 @@
 	}
 
 	private int hostsReservedForCheaper(EligibilityTimes kind, int count, long nowNanos) {
-		int most = (int) (MAX_RESERVED_SHARE * count);
-		double least = Math.max(1, this.load.unobservedShare(nowNanos) * most);
-		double wanted = requiredHosts(this.load.busyHosts((other) -> isCheaper(other, kind), nowNanos));
-		return (int) Math.min(most, Math.ceil(Math.max(least, wanted)));
+		int max = (int) (MAX_RESERVED_SHARE * count);
+		double min = Math.max(1, this.load.unobservedShare(nowNanos) * max);
+		double required = requiredHosts(this.load.busyHosts((other) -> isCheaper(other, kind), nowNanos));
+		return (int) Math.min(max, Math.ceil(Math.max(min, required)));
 	}
 
 	private static double requiredHosts(double load) {
 		return load + STAFFING_FACTOR * Math.sqrt(load);
 	}
 
-	private long hostsWithNoCheaperCall(EligibilityTimes kind, List<String> usable) {
+	private long busyHostsAtOrAbove(EligibilityTimes kind, List<String> usable) {
 		return usable.stream()
 			.map(this.costliestKinds::get)
-			.filter((made) -> made != null && !isCheaper(made, kind))
+			.filter((current) -> current != null && !isCheaper(current, kind))
 			.count();
 	}
 
@@ -165,8 +173,8 @@
 	}
 
 	private boolean isAvailable(String host, double costMillis) {
-		double waiting = outstandingMillis(host);
-		return waiting <= 0 || (costMillis <= SHORT_CALL_MILLIS && waiting <= SHORT_CALL_MILLIS);
+		double outstanding = outstandingMillis(host);
+		return outstanding <= 0 || (costMillis <= SHORT_CALL_MILLIS && outstanding <= SHORT_CALL_MILLIS);
 	}
 
 	private static long toMicros(double millis) {
@@ -176,11 +184,12 @@
 	void callStarted(String host, EligibilityTimes kind, double costMillis, long nowNanos) {
 		this.load.recordCall(kind, costMillis, nowNanos);
 		this.outstandingMicros.merge(host, toMicros(costMillis), Long::sum);
-		this.costliestKinds.merge(host, kind, (former, next) -> isCheaper(former, next) ? next : former);
+		this.costliestKinds.merge(host, kind, (previous, next) -> isCheaper(previous, next) ? next : previous);
 	}
 
 	void callEnded(String host, double costMillis) {
-		this.outstandingMicros.computeIfPresent(host, (name, waiting) -> Math.max(0, waiting - toMicros(costMillis)));
+		this.outstandingMicros.computeIfPresent(host,
+				(name, outstanding) -> Math.max(0, outstanding - toMicros(costMillis)));
 		if (outstandingMillis(host) <= 0) {
 			this.costliestKinds.remove(host);
 		}
@@ -196,9 +205,9 @@
 	}
 
 	/**
-	 * Work that a host still has to do.
+	 * Expected time until a host has finished its outstanding calls.
 	 * @param host the host
-	 * @return milliseconds
+	 * @return the time, milliseconds
 	 */
 	double outstandingMillis(String host) {
 		return this.outstandingMicros.getOrDefault(host, 0L) / MICROS_PER_MILLI;
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/EligibilityRequestDraft.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/EligibilityRequestDraft.java
@@ -3,14 +3,14 @@
 import java.util.List;
 
 /**
- * A question on eligibility that may or may not be sent. Immutable.
+ * The content of an eligibility request that may or may not be sent. Immutable.
  *
- * @param workers the workers to name, none if there is nothing to ask
- * @param whenSent run once the question goes out, and only then
+ * @param workers ids of the workers to query, empty if no request is needed
+ * @param onSent run when the request is sent, and only then
  */
 record EligibilityRequestDraft(List<String> workers, Runnable onSent) {
 
-	/** There is nothing to ask. */
+	/** No request is needed. */
 	static final EligibilityRequestDraft EMPTY = of(List.of());
 
 	static EligibilityRequestDraft of(List<PoolWorker> workers) {
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/EligibilityTracker.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/EligibilityTracker.java
@@ -23,24 +23,26 @@
 import org.monsoonrelay.model.submission.StepKey;
 
 /**
- * Finds out which workers may run a step, ahead of placing it. Which ones are allowed
- * does not change and is kept; tickets lapse and are renewed for the workers chosen. One
- * question a step is open at a time. Not thread-safe: confined to the control thread.
+ * Determines which workers may run a step before the step is placed. Whether a worker is
+ * eligible does not change and is kept; tickets expire and are renewed for the selected
+ * workers. At most one request per step is pending at a time. Not thread-safe: confined
+ * to the control thread.
  */
 final class EligibilityTracker {
 
 	/**
-	 * A ticket is used no longer than this before it lapses, milliseconds: it was issued
-	 * up to a network way before it arrived, and the start takes another.
+	 * A ticket is not used within this time before it expires, in milliseconds: it was
+	 * issued up to one network delay before it arrived, and the start takes another.
 	 */
 	private static final long TICKET_MARGIN_MILLIS = 150;
 
-	/** A call may take this many times what it should, and a while more, milliseconds. */
+	/** Timeout of a call as a multiple of its expected duration, before the margin. */
 	private static final double TIMEOUT_FACTOR = 1.5;
 
+	/** Added to the timeout of every call, in milliseconds. */
 	private static final long TIMEOUT_MARGIN_MILLIS = 400;
 
-	/** Pause before a failed question is asked again, milliseconds. */
+	/** Delay before a failed request is repeated, in milliseconds. */
 	private static final long RETRY_DELAY_MILLIS = 100;
 
 	private final EligibilityClient client;
@@ -55,24 +57,24 @@
 
 	private final EligibilityHostSelector hostSelector;
 
-	private final Map<StepKey, StepEligibility> eligibilityBySteps = new HashMap<>();
+	private final Map<StepKey, StepEligibility> eligibilityByStep = new HashMap<>();
 
 	private final Map<StepKey, QueuedRequest> queuedRequests = new LinkedHashMap<>();
 
 	private int inFlight;
 
-	EligibilityTracker(EligibilityClient source, ScheduledExecutorService control, PoolClock clock, DecisionLog log,
-			Consumer<StepKey> answered) {
-		this.client = source;
+	EligibilityTracker(EligibilityClient client, ScheduledExecutorService control, PoolClock clock, DecisionLog log,
+			Consumer<StepKey> onCompletion) {
+		this.client = client;
 		this.control = control;
 		this.clock = clock;
 		this.log = log;
-		this.onCompletion = answered;
+		this.onCompletion = onCompletion;
 		this.hostSelector = new EligibilityHostSelector(clock.nanos());
 	}
 
 	/**
-	 * Name the hosts that can make calls.
+	 * Replaces the hosts that can make calls.
 	 * @param available the hosts
 	 */
 	void updateHosts(List<String> available) {
@@ -84,15 +86,16 @@
 	}
 
 	/**
-	 * Wish to ask about a step. Which workers to name is decided only when a host has
-	 * time for the question: room comes and goes while it waits.
+	 * Queues an eligibility request for a step. The workers to query are selected only
+	 * when a host is available for the call, because free capacity changes while the
+	 * request is queued.
 	 * @param step the step
-	 * @param times what asking costs
-	 * @param draft decides which workers to name, none if there is nothing to ask
-	 * @param rank place of the step in the order of the queue, 0 first
+	 * @param times the costs of the call
+	 * @param draft selects the workers to query, none if no request is needed
+	 * @param rank position of the step in the queue, 0 is first
 	 */
 	void request(StepKey step, EligibilityTimes times, Supplier<EligibilityRequestDraft> draft, int rank) {
-		StepEligibility known = this.eligibilityBySteps.computeIfAbsent(step,
+		StepEligibility known = this.eligibilityByStep.computeIfAbsent(step,
 				(key) -> new StepEligibility(this.clock.nanos()));
 		known.setRank(rank);
 		this.hostSelector.addKind(times);
@@ -105,14 +108,14 @@
 	}
 
 	/**
-	 * Whether a question about a step may be asked now. Its place in the queue is noted
-	 * for the one that is open.
+	 * Whether a request for a step may be queued now. Also updates the step's position in
+	 * the queue.
 	 * @param step the step
-	 * @param rank place of the step in the order of the queue, 0 first
-	 * @return {@code true} if {@link #ask} would have an effect
+	 * @param rank position of the step in the queue, 0 is first
+	 * @return {@code true} if {@link #request} would have an effect
 	 */
 	boolean mayRequest(StepKey step, int rank) {
-		StepEligibility known = this.eligibilityBySteps.get(step);
+		StepEligibility known = this.eligibilityByStep.get(step);
 		if (known == null) {
 			return true;
 		}
@@ -121,9 +124,9 @@
 	}
 
 	/**
-	 * Send the questions for which a host has time: kinds first that hardly take from the
-	 * others, then in the order of the queue. In the order of their costs alone the
-	 * dearest kind would never be asked about while others wait.
+	 * Sends the queued requests for which a host is available: first the kinds of calls
+	 * that need few hosts, then in queue order. Ordering by cost alone would starve the
+	 * most expensive kind.
 	 */
 	void sendRequests() {
 		if (this.queuedRequests.isEmpty()) {
@@ -132,69 +135,69 @@
 		long now = this.clock.nanos();
 		Map<EligibilityTimes, Integer> precedence = new HashMap<>();
 		this.queuedRequests.values()
-			.forEach((wish) -> precedence.computeIfAbsent(wish.times(),
+			.forEach((queued) -> precedence.computeIfAbsent(queued.times(),
 					(kind) -> this.hostSelector.precedence(kind, now)));
-		List<QueuedRequest> wishes = new ArrayList<>(this.queuedRequests.values());
-		wishes.sort(Comparator.comparing((QueuedRequest wish) -> precedence.get(wish.times()))
-			.thenComparingInt((wish) -> rank(wish.step()))
+		List<QueuedRequest> ordered = new ArrayList<>(this.queuedRequests.values());
+		ordered.sort(Comparator.comparing((QueuedRequest queued) -> precedence.get(queued.times()))
+			.thenComparingInt((queued) -> rank(queued.step()))
 			.thenComparingDouble(QueuedRequest::costMillis));
-		Set<EligibilityTimes> without = new HashSet<>();
-		for (QueuedRequest wish : wishes) {
-			// A kind that found no host finds none for its next question either. Whom to
-			// name is worked out for those alone that can be sent.
-			boolean mayWait = wish.costMillis() <= EligibilityHostSelector.SHORT_CALL_MILLIS;
-			if (!mayWait && without.contains(wish.times())) {
+		Set<EligibilityTimes> kindsWithoutHost = new HashSet<>();
+		for (QueuedRequest queued : ordered) {
+			// If no host was available for a kind of call, none is for its next request.
+			// Workers are selected only for requests that can be sent.
+			boolean mayShareHost = queued.costMillis() <= EligibilityHostSelector.SHORT_CALL_MILLIS;
+			if (!mayShareHost && kindsWithoutHost.contains(queued.times())) {
 				continue;
 			}
-			if (this.hostSelector.select(wish.times(), wish.costMillis(), now).isPresent()) {
-				prepareAndSend(wish, now);
+			if (this.hostSelector.select(queued.times(), queued.costMillis(), now).isPresent()) {
+				prepareAndSend(queued, now);
 			}
 			else {
-				without.add(wish.times());
+				kindsWithoutHost.add(queued.times());
 			}
 		}
 	}
 
-	private void prepareAndSend(QueuedRequest wish, long now) {
-		EligibilityRequestDraft draft = wish.draft().get();
-		this.queuedRequests.remove(wish.step());
+	private void prepareAndSend(QueuedRequest queued, long now) {
+		EligibilityRequestDraft draft = queued.draft().get();
+		this.queuedRequests.remove(queued.step());
 		if (draft.workers().isEmpty()) {
 			return;
 		}
-		StepEligibility known = this.eligibilityBySteps.get(wish.step());
-		List<String> named = draft.workers().stream().limit(EligibilityCandidates.MAX_REQUEST_SIZE).toList();
-		int firstAsked = (int) named.stream().filter((worker) -> !known.wasQueried(worker)).count();
-		PreparedRequest question = new PreparedRequest(wish.step(), wish.times(), named, firstAsked,
-				wish.queuedNanos());
-		Optional<String> host = this.hostSelector.select(question.times(), question.costMillis(), now);
+		StepEligibility known = this.eligibilityByStep.get(queued.step());
+		List<String> workers = draft.workers().stream().limit(EligibilityCandidates.MAX_REQUEST_SIZE).toList();
+		int newlyQueried = (int) workers.stream().filter((worker) -> !known.wasQueried(worker)).count();
+		PreparedRequest request = new PreparedRequest(queued.step(), queued.times(), workers, newlyQueried,
+				queued.queuedNanos());
+		Optional<String> host = this.hostSelector.select(request.times(), request.costMillis(), now);
 		if (host.isEmpty()) {
-			// It waits as one of its true cost from now on.
-			this.queuedRequests.put(wish.step(), new QueuedRequest(wish.step(), wish.times(), wish.draft(),
-					wish.queuedNanos(), question.costMillis()));
+			// Queue the request again with its actual cost, which is known only now.
+			this.queuedRequests.put(queued.step(), new QueuedRequest(queued.step(), queued.times(), queued.draft(),
+					queued.queuedNanos(), request.costMillis()));
 			return;
 		}
 		known.recordRequest();
 		draft.onSent().run();
-		send(question, host.get());
+		send(request, host.get());
 	}
 
 	private int rank(StepKey step) {
-		StepEligibility known = this.eligibilityBySteps.get(step);
+		StepEligibility known = this.eligibilityByStep.get(step);
 		return (known != null) ? known.rank() : Integer.MAX_VALUE;
 	}
 
-	private void send(PreparedRequest question, String host) {
+	private void send(PreparedRequest request, String host) {
 		long sentNanos = this.clock.nanos();
-		int rank = rank(question.step());
+		int rank = rank(request.step());
 		this.inFlight++;
-		this.hostSelector.callStarted(host, question.times(), question.costMillis(), sentNanos);
+		this.hostSelector.callStarted(host, request.times(), request.costMillis(), sentNanos);
 		Duration timeout = Duration
 			.ofMillis((long) (TIMEOUT_FACTOR * this.hostSelector.outstandingMillis(host) + TIMEOUT_MARGIN_MILLIS));
-		this.client.requestTickets(host, question.step(), question.workers(), timeout)
+		this.client.requestTickets(host, request.step(), request.workers(), timeout)
 			.whenComplete(OnThread.of(this.control, (tickets, failure) -> {
 				this.inFlight--;
-				this.hostSelector.callEnded(host, question.costMillis());
-				StepEligibility known = this.eligibilityBySteps.get(question.step());
+				this.hostSelector.callEnded(host, request.costMillis());
+				StepEligibility known = this.eligibilityByStep.get(request.step());
 				long now = this.clock.nanos();
 				if (failure != null) {
 					this.hostSelector.callFailed(host, now);
@@ -203,73 +206,72 @@
 					this.hostSelector.callSucceeded(host);
 				}
 				if (known != null) {
-					recordResult(question, new SentRequest(host, rank, sentNanos), known, tickets, failure);
+					recordResult(request, new SentRequest(host, rank, sentNanos), known, tickets, failure);
 				}
-				this.onCompletion.accept(question.step());
+				this.onCompletion.accept(request.step());
 			}));
 	}
 
-	private void recordResult(PreparedRequest question, SentRequest sent, StepEligibility known,
+	private void recordResult(PreparedRequest request, SentRequest sent, StepEligibility known,
 			Map<String, String> tickets, Throwable failure) {
 		long now = this.clock.nanos();
-		StepKey step = question.step();
+		StepKey step = request.step();
 		if (failure != null) {
 			known.recordFailure(now + TimeUnit.MILLISECONDS.toNanos(RETRY_DELAY_MILLIS));
 			this.log.write(new JobDecision.EligibilityFailed(step.job(), step.local(), sent.host(),
 					String.valueOf(failure.getMessage())));
 			return;
 		}
-		long valid = TimeUnit.MILLISECONDS.toNanos(question.times().validMillis() - TICKET_MARGIN_MILLIS);
-		known.recordReply(question.workers(), tickets, now + valid);
+		long validNanos = TimeUnit.MILLISECONDS.toNanos(request.times().validMillis() - TICKET_MARGIN_MILLIS);
+		known.recordReply(request.workers(), tickets, now + validNanos);
 		this.log.write(new JobDecision.EligibilityAnswered(step.job(), step.local(), sent.host(),
-				question.workers().size(), tickets.size(), question.newlyQueried(), sent.rank(),
-				TimeUnit.NANOSECONDS.toMillis(sent.sentNanos() - question.queuedNanos()),
+				request.workers().size(), tickets.size(), request.newlyQueried(), sent.rank(),
+				TimeUnit.NANOSECONDS.toMillis(sent.sentNanos() - request.queuedNanos()),
 				TimeUnit.NANOSECONDS.toMillis(now - sent.sentNanos())));
 	}
 
 	/**
-	 * Forget the questions that have not been sent, as what they were based on has
-	 * changed.
+	 * Discards the requests that have not been sent, because the configuration that they
+	 * were based on has changed.
 	 */
 	void discardQueuedRequests() {
 		this.queuedRequests.clear();
 	}
 
 	/**
-	 * Forget the steps that nobody will ask for any more.
-	 * @param isOver tells those steps
+	 * Removes steps whose eligibility is not needed any more.
+	 * @param isOver matches those steps
 	 */
 	void removeIf(Predicate<StepKey> isOver) {
-		this.eligibilityBySteps.keySet().removeIf(isOver);
+		this.eligibilityByStep.keySet().removeIf(isOver);
 		this.queuedRequests.keySet().removeIf(isOver);
 	}
 
 	/**
-	 * Whether a question about a step is on its way.
+	 * Whether a request for a step is pending.
 	 * @param step the step
-	 * @return {@code true} until it is answered or has failed
+	 * @return {@code true} from its sending until it is answered or has failed
 	 */
 	boolean isRequestPending(StepKey step) {
 		return eligibilityOf(step).isRequestPending();
 	}
 
 	/**
-	 * What is known of a step.
+	 * The known eligibility of workers for a step.
 	 * @param step the step
-	 * @return its eligible workers, none if nothing is known yet
+	 * @return the eligibility, {@link StepEligibility#UNKNOWN} before the first request
 	 */
 	StepEligibility eligibilityOf(StepKey step) {
-		return this.eligibilityBySteps.getOrDefault(step, StepEligibility.UNKNOWN);
+		return this.eligibilityByStep.getOrDefault(step, StepEligibility.UNKNOWN);
 	}
 
 	/**
-	 * Note that a worker did not take a ticket, so that it is renewed before its next
-	 * use.
+	 * Records that a worker rejected a ticket, so that it is renewed before its next use.
 	 * @param step the step
 	 * @param worker the worker
 	 */
 	void ticketRefused(StepKey step, String worker) {
-		StepEligibility known = this.eligibilityBySteps.get(step);
+		StepEligibility known = this.eligibilityByStep.get(step);
 		if (known != null) {
 			known.expireTicket(worker, this.clock.nanos());
 		}
@@ -283,13 +285,13 @@
 		return this.queuedRequests.size();
 	}
 
-	/** A question that nobody has been asked yet. */
+	/** A request for which no host has been available yet. */
 	private record QueuedRequest(StepKey step, EligibilityTimes times, Supplier<EligibilityRequestDraft> draft,
 			long queuedNanos, double costMillis) {
 
 	}
 
-	/** How a question went out. */
+	/** Host, queue position and time with which a request was sent. */
 	private record SentRequest(String host, int rank, long sentNanos) {
 
 	}
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/GangAwareBestFit.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/GangAwareBestFit.java
@@ -7,10 +7,11 @@
 import org.monsoonrelay.model.capacity.Resources;
 
 /**
- * Best fit that first spares the workers which waiting gangs may use: of workers wanted
- * by equally few gangs the fullest one that still has room. Keeps room for gangs
- * together, which answers loads near the capacity of the pool. A worker on which the task
- * failed last comes last, data nearby comes first. Stateless.
+ * Best fit that avoids workers which waiting gangs could use: prefers the workers that
+ * the fewest gangs could use, and among these the one with the least capacity left. This
+ * keeps free capacity for gangs together when the load is near the capacity of the pool.
+ * The worker on which the task failed most recently comes last; workers on the rack of
+ * the task's data come before others. Stateless.
  */
 final class GangAwareBestFit implements WorkerSelector {
 
@@ -23,11 +24,11 @@
 			.min(Comparator.<PoolWorker, Boolean>comparing((worker) -> worker.id().equals(failedOn))
 				.thenComparing((worker) -> !rack.isEmpty() && !rack.equals(worker.info().rack()))
 				.thenComparingInt((worker) -> demand.gangCount(worker.id()))
-				.thenComparingDouble((worker) -> leftShare(worker, size))
+				.thenComparingDouble((worker) -> remainingShare(worker, size))
 				.thenComparing(PoolWorker::id));
 	}
 
-	private static double leftShare(PoolWorker worker, Resources size) {
+	private static double remainingShare(PoolWorker worker, Resources size) {
 		return worker.free().minus(size).largestShareOf(worker.info().capacity());
 	}
 
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/GangDemand.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/GangDemand.java
@@ -4,7 +4,8 @@
 import java.util.Map;
 
 /**
- * How many waiting gangs may use each worker. Built anew for each turn. Not thread-safe.
+ * Number of waiting gangs that could use each worker. Rebuilt for each placement pass.
+ * Not thread-safe.
  */
 final class GangDemand {
 
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/GangPlanner.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/GangPlanner.java
@@ -9,49 +9,53 @@
 import org.monsoonrelay.model.capacity.Resources;
 
 /**
- * Finds room for all tasks of a gang at once. Stateless but for the rule that it is
- * given.
+ * Plans the placement of all tasks of a gang at once. Stateless except for the worker
+ * selector.
  */
 final class GangPlanner {
 
 	private final WorkerSelector selector;
 
-	GangPlanner(WorkerSelector choice) {
-		this.selector = choice;
+	GangPlanner(WorkerSelector selector) {
+		this.selector = selector;
 	}
 
 	/**
-	 * Plan the whole gang, on one rack if that matters and fits, else anywhere.
-	 * @param turn the gang
-	 * @param usable workers that it may use and that have room for one of its tasks
-	 * @param demand what gangs wait for
-	 * @return the worker of each task, empty if there is no room for all
+	 * Plans the whole gang: on one rack if the step is rack-sensitive and one has enough
+	 * free capacity, otherwise on any workers.
+	 * @param context the gang
+	 * @param usable candidates with free capacity for at least one of its tasks
+	 * @param demand how many waiting gangs could use each worker
+	 * @return worker by task index, empty if there is not enough free capacity for all
+	 * tasks
 	 */
-	Optional<Map<Integer, PoolWorker>> plan(PlacementContext turn, List<PoolWorker> usable, GangDemand demand) {
-		if (turn.step().spec().rackSensitive()) {
+	Optional<Map<Integer, PoolWorker>> plan(PlacementContext context, List<PoolWorker> usable, GangDemand demand) {
+		if (context.step().spec().rackSensitive()) {
 			for (String rack : usable.stream().map((worker) -> worker.info().rack()).distinct().toList()) {
-				List<PoolWorker> there = usable.stream().filter((worker) -> worker.info().rack().equals(rack)).toList();
-				Optional<Map<Integer, PoolWorker>> plan = planOn(turn, there, demand);
+				List<PoolWorker> onRack = usable.stream()
+					.filter((worker) -> worker.info().rack().equals(rack))
+					.toList();
+				Optional<Map<Integer, PoolWorker>> plan = planWithin(context, onRack, demand);
 				if (plan.isPresent()) {
 					return plan;
 				}
 			}
 		}
-		return planOn(turn, usable, demand);
+		return planWithin(context, usable, demand);
 	}
 
-	private Optional<Map<Integer, PoolWorker>> planOn(PlacementContext turn, List<PoolWorker> usable,
+	private Optional<Map<Integer, PoolWorker>> planWithin(PlacementContext context, List<PoolWorker> usable,
 			GangDemand demand) {
-		if (!hasRoomForAll(turn, usable)) {
+		if (!hasCapacityForAll(context, usable)) {
 			return Optional.empty();
 		}
 		Map<Integer, PoolWorker> plan = new LinkedHashMap<>();
 		Map<String, Integer> planned = new HashMap<>();
-		for (int index : turn.tasks()) {
+		for (int index : context.tasks()) {
 			List<PoolWorker> fitting = usable.stream()
-				.filter((worker) -> turn.fits(worker, planned.getOrDefault(worker.id(), 0) + 1))
+				.filter((worker) -> context.fits(worker, planned.getOrDefault(worker.id(), 0) + 1))
 				.toList();
-			Optional<PoolWorker> worker = this.selector.select(turn.step(), index, fitting, demand);
+			Optional<PoolWorker> worker = this.selector.select(context.step(), index, fitting, demand);
 			if (worker.isEmpty()) {
 				return Optional.empty();
 			}
@@ -61,14 +65,14 @@
 		return Optional.of(plan);
 	}
 
-	// Most gangs that wait find no room, which is told without planning task by task.
-	private static boolean hasRoomForAll(PlacementContext turn, List<PoolWorker> usable) {
-		Resources size = turn.step().spec().committedSize();
-		long room = 0;
+	// Most waiting gangs do not fit; this check finds out without planning each task.
+	private static boolean hasCapacityForAll(PlacementContext context, List<PoolWorker> usable) {
+		Resources size = context.step().spec().committedSize();
+		long freeSlots = 0;
 		for (PoolWorker worker : usable) {
-			room += worker.free().timesCovering(size);
+			freeSlots += worker.free().timesCovering(size);
 		}
-		return room >= turn.tasks().size();
+		return freeSlots >= context.tasks().size();
 	}
 
 }
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/GangReservations.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/GangReservations.java
@@ -12,20 +12,24 @@
 import org.monsoonrelay.model.capacity.Resources;
 
 /**
- * Workers that other steps leave alone in this turn, because a gang that came before them
- * found no room and may use them. Small tasks, and narrower gangs, would otherwise fill
- * whatever becomes free before a wide gang's room has come together. All workers of a
- * gang are left alone by steps with time to spare; a gang that is about to be late has
- * just enough of them reserved against all others. Answers loads near the capacity of the
- * pool. Invariant: no worker is reserved for two gangs, and no more than a share of the
- * pool is. Built anew for each turn. Not thread-safe.
+ * Workers that other steps must not use in this placement pass, because a gang ahead of
+ * them did not find enough free capacity and may use these workers. Otherwise small tasks
+ * and narrower gangs would fill capacity as soon as it becomes free, before there is
+ * enough for a wide gang. All workers of such a gang are set aside, so that steps with
+ * slack avoid them; a gang that is about to be late has just enough of them reserved
+ * against all other steps. Designed for loads near the capacity of the pool. Invariants:
+ * no worker is reserved for two gangs, and at most a fixed share of the pool is reserved.
+ * Rebuilt for each placement pass. Not thread-safe.
  */
 final class GangReservations {
 
-	/** Time to spare that makes a step wait, milliseconds. */
+	/** Slack above which a step avoids workers that are set aside, in milliseconds. */
 	static final long SLACK_THRESHOLD_MILLIS = 2000;
 
-	/** Most workers reserved, as a share of the pool: they run empty meanwhile. */
+	/**
+	 * Largest share of the pool's workers that may be reserved; reserved workers drain
+	 * and are partly idle meanwhile.
+	 */
 	static final double MAX_RESERVED_SHARE = 1.0 / 3;
 
 	private final long slackThresholdMillis;
@@ -37,13 +41,14 @@
 	private final Set<String> reservedWorkers = new HashSet<>();
 
 	/**
-	 * Begin a turn.
-	 * @param spareMillis time to spare that makes a step wait
-	 * @param mostReserved most workers to reserve
+	 * Creates the reservations of a placement pass.
+	 * @param slackThresholdMillis slack above which a step avoids workers that are set
+	 * aside
+	 * @param maxReserved largest number of workers to reserve
 	 */
-	GangReservations(long spareMillis, int mostReserved) {
-		this.slackThresholdMillis = spareMillis;
-		this.maxReserved = mostReserved;
+	GangReservations(long slackThresholdMillis, int maxReserved) {
+		this.slackThresholdMillis = slackThresholdMillis;
+		this.maxReserved = maxReserved;
 	}
 
 	void setAside(PoolWorker worker) {
@@ -51,71 +56,73 @@
 	}
 
 	/**
-	 * Reserve as few workers as hold all tasks of a gang once they are empty, those with
-	 * the most room now first, so that the same ones are chosen turn after turn. Not
-	 * before the gang would be late otherwise.
-	 * @param turn the gang
-	 * @param allowed the workers that may run it
-	 * @param spareMillis time to spare of the gang, without that of a question
-	 * @param emptyInMillis tells when what runs on a worker is likely to have ended
-	 * @return the reserved workers, none if it is early, if these do not suffice or too
-	 * many are reserved
+	 * Reserves the smallest number of workers that can hold all tasks of a gang once they
+	 * are empty. Workers with the most free capacity come first, so that the same ones
+	 * are selected in each pass. Reserves nothing while the gang would still start in
+	 * time without it.
+	 * @param context the gang
+	 * @param eligible the workers that may run it
+	 * @param slackMillis slack of the gang, less the time of an eligibility request
+	 * @param emptyInMillis returns the expected time until the runs on a worker have
+	 * ended
+	 * @return the reserved workers, empty if it is too early, if the workers do not
+	 * suffice or if too many would be reserved
 	 */
-	List<PoolWorker> reserve(PlacementContext turn, Collection<PoolWorker> allowed, long spareMillis,
+	List<PoolWorker> reserve(PlacementContext context, Collection<PoolWorker> eligible, long slackMillis,
 			ToLongFunction<PoolWorker> emptyInMillis) {
 		if (this.reservedWorkers.size() >= this.maxReserved) {
 			return List.of();
 		}
-		Resources size = turn.step().spec().committedSize();
-		int limit = turn.step().spec().maximumPerWorker();
-		int most = (limit > 0) ? limit : Integer.MAX_VALUE;
+		Resources size = context.step().spec().committedSize();
+		int limit = context.step().spec().maximumPerWorker();
+		int maxPerWorker = (limit > 0) ? limit : Integer.MAX_VALUE;
 		List<Candidate> usable = new ArrayList<>();
-		for (PoolWorker worker : allowed) {
-			if (worker.isAcceptingWork(turn.nowNanos()) && turn.matches(worker) && isAvailableToGangs(worker)) {
+		for (PoolWorker worker : eligible) {
+			if (worker.isAcceptingWork(context.nowNanos()) && context.matches(worker) && isAvailableToGangs(worker)) {
 				usable.add(Candidate.of(worker, size));
 			}
 		}
-		usable.sort(Candidate.ROOMIEST_FIRST);
-		List<PoolWorker> chosen = new ArrayList<>();
-		int missing = turn.tasks().size();
+		usable.sort(Candidate.MOST_FREE_FIRST);
+		List<PoolWorker> selected = new ArrayList<>();
+		int unplaced = context.tasks().size();
 		for (Candidate candidate : usable) {
-			if (missing <= 0) {
+			if (unplaced <= 0) {
 				break;
 			}
-			chosen.add(candidate.worker());
-			missing -= Math.min(most, candidate.worker().info().capacity().timesCovering(size));
+			selected.add(candidate.worker());
+			unplaced -= Math.min(maxPerWorker, candidate.worker().info().capacity().timesCovering(size));
 		}
-		boolean isEarly = chosen.stream().mapToLong(emptyInMillis).max().orElse(0) < spareMillis;
-		if (isEarly || missing > 0 || this.reservedWorkers.size() + chosen.size() > this.maxReserved) {
+		boolean isEarly = selected.stream().mapToLong(emptyInMillis).max().orElse(0) < slackMillis;
+		if (isEarly || unplaced > 0 || this.reservedWorkers.size() + selected.size() > this.maxReserved) {
 			return List.of();
 		}
-		chosen.forEach((worker) -> this.reservedWorkers.add(worker.id()));
-		return chosen;
+		selected.forEach((worker) -> this.reservedWorkers.add(worker.id()));
+		return selected;
 	}
 
 	/**
-	 * Whether a gang may use a worker.
+	 * Whether a worker is available to gangs.
 	 * @param worker the worker
-	 * @return {@code false} if it is reserved for another one
+	 * @return {@code false} if it is already reserved for a gang
 	 */
 	boolean isAvailableToGangs(PoolWorker worker) {
 		return !this.reservedWorkers.contains(worker.id());
 	}
 
 	/**
-	 * Workers that a step may use.
-	 * @param step the step, not a gang
-	 * @param nowMillis the time of day
-	 * @return tells those workers
+	 * Returns the workers that a step may use.
+	 * @param entry the step, not a gang
+	 * @param nowMillis the current time, epoch milliseconds
+	 * @return matches those workers
 	 */
-	Predicate<PoolWorker> availableTo(QueueEntry step, long nowMillis) {
-		boolean hasTime = step.latestStartMillis() - nowMillis > this.slackThresholdMillis;
-		return (worker) -> isAvailableToGangs(worker) && !(hasTime && this.setAsideWorkers.contains(worker.id()));
+	Predicate<PoolWorker> availableTo(QueueEntry entry, long nowMillis) {
+		boolean hasSlack = entry.latestStartMillis() - nowMillis > this.slackThresholdMillis;
+		return (worker) -> isAvailableToGangs(worker) && !(hasSlack && this.setAsideWorkers.contains(worker.id()));
 	}
 
-	private record Candidate(PoolWorker worker, int places, double freeShare) {
+	private record Candidate(PoolWorker worker, int freeSlots, double freeShare) {
 
-		private static final Comparator<Candidate> ROOMIEST_FIRST = Comparator.comparingInt(Candidate::places)
+		private static final Comparator<Candidate> MOST_FREE_FIRST = Comparator.comparingInt(Candidate::freeSlots)
 			.thenComparingDouble(Candidate::freeShare)
 			.reversed()
 			.thenComparing((candidate) -> candidate.worker().id());
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/LeastSlackOrder.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/LeastSlackOrder.java
@@ -3,22 +3,22 @@
 import java.util.Comparator;
 
 /**
- * Long-running steps come first: they have no end to be in time for, and earn each second
- * that their tasks are at work. Then come steps that can still be in time, the one that
- * has to start soonest before the others; steps that are late follow, those that are
- * hopelessly late last. Answers loads that fill the pool, where serving late work first
- * would make all work late, and where long-running tasks would never be restarted if
- * their age made them late. Stateless.
+ * Orders steps by class, then by latest start. Long-running steps come first: they have
+ * no deadline and count for every second in which their tasks run. Steps that can still
+ * meet their deadline follow, then late steps, and last steps that are too late to be
+ * worth anything. Designed for loads that fill the pool: serving late steps first would
+ * make all steps late, and long-running tasks would never be restarted if their age made
+ * them late. Stateless.
  */
 final class LeastSlackOrder implements QueueOrder {
 
 	/**
-	 * Share of the declared run time that has to fit before the deadline for a step to
-	 * count as in time; declared times are off by half.
+	 * A step can still meet its deadline if this share of its declared run time fits
+	 * before it; declared run times are off by up to half.
 	 */
 	private static final double MIN_RUN_TIME_SHARE = 0.6;
 
-	/** After this many times its allowed time a job earns nothing any more. */
+	/** A job that takes longer than this many times its allowed time is worth nothing. */
 	private static final int MAX_LATENESS_FACTOR = 3;
 
 	@Override
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/PlacementContext.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/PlacementContext.java
@@ -6,23 +6,25 @@
 import org.monsoonrelay.model.submission.QueuePolicy;
 
 /**
- * A waiting step in one turn of placing, with all that decides which workers it may use.
- * Looked up once a turn: per worker and task it took most of an owner's processor time.
- * Not thread-safe: confined to the control thread.
+ * A waiting step during one placement pass, with everything that decides which workers it
+ * may use. Looked up once per pass, because a lookup per worker and task took most of the
+ * owner's processor time. Not thread-safe: confined to the control thread.
  *
  * @param step the step
- * @param tasks numbers of its tasks that wait
- * @param policy its queue's policy in force
- * @param eligibility what is known of the workers that may run it
- * @param nowNanos time of the turn
+ * @param tasks indexes of its waiting tasks
+ * @param policy the policy in force for its queue
+ * @param eligibility the known eligibility of workers for it
+ * @param nowNanos time of the placement pass
  */
 record PlacementContext(ActiveStep step, List<Integer> tasks, QueuePolicy policy, StepEligibility eligibility,
 		long nowNanos) {
 
 	/**
-	 * Whether a worker could ever run the step, eligibility aside.
+	 * Whether a worker matches the requirements of the step, regardless of eligibility
+	 * and capacity.
 	 * @param worker the worker
-	 * @return {@code true} if it serves the queue, has the label and is large enough
+	 * @return {@code true} if it belongs to the queue's service and has the required
+	 * label
 	 */
 	boolean matches(PoolWorker worker) {
 		WorkerInfo info = worker.info();
@@ -31,10 +33,11 @@
 	}
 
 	/**
-	 * Whether a worker has room for tasks of the step now.
+	 * Whether tasks of the step can be placed on a worker now.
 	 * @param worker the worker
-	 * @param count how many tasks
-	 * @return {@code true} if they fit and the step may have so many there
+	 * @param count the number of tasks
+	 * @return {@code true} if there is enough free capacity and the limit of tasks per
+	 * worker is kept
 	 */
 	boolean fits(PoolWorker worker, int count) {
 		Resources size = this.step.spec().committedSize();
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/PlacementRules.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/PlacementRules.java
@@ -1,17 +1,18 @@
 package org.monsoonrelay.logic.pool;
 
 /**
- * Which rules decide what is placed first, and where. Immutable.
+ * The rules that decide which step is placed first and on which worker. Immutable.
  *
- * @param order the order in which steps are offered room
- * @param choice the worker for a task among those with room
- * @param spareMillis time to spare that makes a step leave room to gangs, milliseconds
- * @param reservedShare most workers reserved for gangs that are about to be late, as a
- * share of the pool
+ * @param order the order in which steps are offered capacity
+ * @param selector selects the worker for a task among the candidates
+ * @param slackThresholdMillis slack above which a step leaves capacity to gangs,
+ * milliseconds
+ * @param maxReservedShare largest share of the pool's workers that may be reserved for
+ * gangs that are about to be late
  */
 record PlacementRules(QueueOrder order, WorkerSelector selector, long slackThresholdMillis, double maxReservedShare) {
 
-	/** The rules in use; their classes say which loads they answer. */
+	/** The default rules; their classes describe the loads that they are designed for. */
 	static final PlacementRules DEFAULT = new PlacementRules(new LeastSlackOrder(), new GangAwareBestFit(),
 			GangReservations.SLACK_THRESHOLD_MILLIS, GangReservations.MAX_RESERVED_SHARE);
 
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/QueueEntry.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/QueueEntry.java
@@ -1,20 +1,21 @@
 package org.monsoonrelay.logic.pool;
 
 /**
- * A step with tasks that wait, as the order of the queue sees it. Immutable.
+ * The attributes of a step that determine its position in the queue. Immutable.
  *
  * @param step the step
- * @param priority priority of its queue, 0 first
- * @param acceptedMillis when its occurrence could begin, epoch milliseconds
- * @param deadlineMillis when the job has to be done to be in time, epoch milliseconds
- * @param chainMillis declared run time of the longest chain from this step on
+ * @param priority priority of its queue, 0 is the highest
+ * @param readyMillis earliest start of its occurrence, epoch milliseconds
+ * @param deadlineMillis deadline of the job, epoch milliseconds
+ * @param criticalPathMillis declared run time of the longest dependency chain that starts
+ * with this step, milliseconds
  */
 record QueueEntry(ActiveStep step, int priority, long readyMillis, long deadlineMillis, long criticalPathMillis) {
 
 	/**
-	 * See a step as the order sees it.
+	 * Creates the queue entry of a step.
 	 * @param step the step
-	 * @return the view
+	 * @return the queue entry
 	 */
 	static QueueEntry of(ActiveStep step) {
 		var submission = step.job().submission();
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/QueueOrder.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/QueueOrder.java
@@ -3,13 +3,13 @@
 import java.util.Comparator;
 
 /**
- * The order in which waiting steps are offered room. Implementations are stateless.
+ * The order in which waiting steps are offered capacity. Implementations are stateless.
  */
 interface QueueOrder {
 
 	/**
-	 * Compare steps; the smaller one is offered room first.
-	 * @param nowMillis the time of day
+	 * Returns the order of steps; the smallest one is offered capacity first.
+	 * @param nowMillis the current time, epoch milliseconds
 	 * @return the comparator
 	 */
 	Comparator<QueueEntry> comparator(long nowMillis);
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/StepEligibility.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/StepEligibility.java
@@ -8,13 +8,12 @@
 import java.util.Set;
 
 /**
- * What is known of the workers that may run one step. Which ones are allowed does not
- * change and is kept; their tickets lapse. Not thread-safe: confined to the control
- * thread.
+ * The known eligibility of workers for one step. Whether a worker is eligible does not
+ * change and is kept; tickets expire. Not thread-safe: confined to the control thread.
  */
 final class StepEligibility {
 
-	/** Nothing is known yet. */
+	/** Eligibility of a step for which no request has been made. */
 	static final StepEligibility UNKNOWN = new StepEligibility(0);
 
 	private final Set<String> queriedWorkers = new HashSet<>();
@@ -32,9 +31,10 @@
 	}
 
 	/**
-	 * Whether a question may be asked now.
+	 * Whether a request may be sent now.
 	 * @param nowNanos the current time
-	 * @return {@code false} while one is open and for a pause after one that failed
+	 * @return {@code false} while a request is pending and during the delay after a
+	 * failed one
 	 */
 	boolean mayRequest(long nowNanos) {
 		return !this.requestPending && nowNanos - this.earliestRequestNanos >= 0;
@@ -48,10 +48,10 @@
 		this.requestPending = true;
 	}
 
-	void recordReply(List<String> workers, Map<String, String> answer, long expiresNanos) {
+	void recordReply(List<String> workers, Map<String, String> newTickets, long expiresNanos) {
 		this.requestPending = false;
 		this.queriedWorkers.addAll(workers);
-		answer.forEach((worker, ticket) -> this.tickets.put(worker, new Ticket(ticket, expiresNanos)));
+		newTickets.forEach((worker, ticket) -> this.tickets.put(worker, new Ticket(ticket, expiresNanos)));
 	}
 
 	void recordFailure(long retryNanos) {
@@ -60,7 +60,7 @@
 	}
 
 	/**
-	 * Note that a worker did not take its ticket.
+	 * Expires the ticket of a worker that rejected it.
 	 * @param worker the worker's id
 	 * @param nowNanos the current time
 	 */
@@ -69,7 +69,7 @@
 	}
 
 	/**
-	 * Whether a first answer has come.
+	 * Whether at least one reply has been received.
 	 * @return {@code true} if so
 	 */
 	boolean hasReply() {
@@ -81,7 +81,7 @@
 	}
 
 	/**
-	 * Workers known as allowed, with a ticket that may have lapsed.
+	 * Workers known to be eligible; their tickets may have expired.
 	 * @return their ids
 	 */
 	Set<String> eligibleWorkers() {
@@ -93,10 +93,10 @@
 	}
 
 	/**
-	 * A ticket that can be used now.
+	 * The valid ticket of a worker.
 	 * @param worker the worker's id
 	 * @param nowNanos the current time
-	 * @return the ticket, empty if it has to be renewed
+	 * @return the ticket, empty if there is none or it has expired
 	 */
 	Optional<String> ticket(String worker, long nowNanos) {
 		Ticket ticket = this.tickets.get(worker);
@@ -108,8 +108,8 @@
 		return this.rank;
 	}
 
-	void setRank(int place) {
-		this.rank = place;
+	void setRank(int newRank) {
+		this.rank = newRank;
 	}
 
 	private record Ticket(String text, long expiresNanos) {
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/TakeOverPolicy.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/TakeOverPolicy.java
@@ -4,30 +4,31 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * What this host does about a pool that is free. Hosts that stand ready go first, and
- * large ones before small ones. Invariant: a host that is not to go first takes the pool
- * only if the table has been taking writes for as long as it leaves the pool to others.
- * Until the table does, none of them could take it, however long it has been free. Not
+ * Decides when this host takes over a pool that has no owner. Standby hosts take
+ * precedence over others, and large hosts over small ones. Invariant: a host without
+ * precedence takes the pool over only after the table has accepted writes for as long as
+ * this host has to leave the pool to others. As long as the table rejects writes, no host
+ * could take the pool over, so that time spent waiting before does not count. Not
  * thread-safe: confined to the control thread.
  */
 final class TakeOverPolicy {
 
 	/**
-	 * How long a host that does not stand ready leaves a free pool to others,
+	 * How long a host that is not a standby leaves a pool without an owner to others, in
 	 * milliseconds: three checks.
 	 */
 	static final long NON_STANDBY_DELAY_MILLIS = 300;
 
 	/**
-	 * How long one that stands ready leaves it to the first of them, milliseconds: what a
-	 * take-over takes beside a table that is well.
+	 * How long a standby leaves the pool to the first standby, in milliseconds: the
+	 * duration of a take-over while the table works normally.
 	 */
 	static final long STANDBY_DELAY_MILLIS = 100;
 
 	/**
-	 * How long a host that is far smaller than the largest leaves it to large ones,
-	 * milliseconds: a host whose call to the table hangs knows after 2.5 s that it
-	 * answers again, and then takes the pool within two checks.
+	 * How long a host that is far smaller than the largest one leaves the pool to large
+	 * hosts, in milliseconds: a host whose call to the table hangs detects after 2.5 s
+	 * that the table answers again, and then takes the pool over within two checks.
 	 */
 	static final long SMALL_HOST_DELAY_MILLIS = 2700;
 
@@ -35,7 +36,7 @@
 
 	private final PoolClock clock;
 
-	private OptionalLong sinceNanos = OptionalLong.empty();
+	private OptionalLong waitStartNanos = OptionalLong.empty();
 
 	private long version;
 
@@ -47,59 +48,59 @@
 	}
 
 	/**
-	 * Note that the pool is not free, or that the table does not answer.
+	 * Resets the wait, because the pool has an owner or the table does not answer.
 	 */
 	void reset() {
-		this.sinceNanos = OptionalLong.empty();
+		this.waitStartNanos = OptionalLong.empty();
 	}
 
 	/**
-	 * Note that the table takes writes.
+	 * Records that the table accepts writes; the wait starts again from now.
 	 */
 	void recordWritable() {
-		if (this.sinceNanos.isPresent()) {
+		if (this.waitStartNanos.isPresent()) {
 			this.tableWritable = true;
-			this.sinceNanos = OptionalLong.of(this.clock.nanos());
+			this.waitStartNanos = OptionalLong.of(this.clock.nanos());
 		}
 	}
 
 	/**
-	 * Note that the pool is free now.
+	 * Returns the next action for a pool that has no owner now.
 	 * @param record the owner's row
-	 * @param recordVersion its version; with another one, time counts anew
-	 * @return what to do
+	 * @param recordVersion version of the row; a change restarts the wait
+	 * @return the action
 	 */
 	Action nextAction(OwnerRecord record, long recordVersion) {
 		long now = this.clock.nanos();
-		if (this.sinceNanos.isEmpty() || this.version != recordVersion) {
-			this.sinceNanos = OptionalLong.of(now);
+		if (this.waitStartNanos.isEmpty() || this.version != recordVersion) {
+			this.waitStartNanos = OptionalLong.of(now);
 			this.version = recordVersion;
 			this.tableWritable = false;
 		}
-		long waited = TimeUnit.NANOSECONDS.toMillis(now - this.sinceNanos.getAsLong());
+		long waitedMillis = TimeUnit.NANOSECONDS.toMillis(now - this.waitStartNanos.getAsLong());
 		boolean isLarge = this.self.size().isLargeComparedTo(record.largest());
-		boolean isReady = record.standbys().isEmpty() || record.standbys().contains(this.self.host());
-		if (isLarge && isReady) {
+		boolean isStandby = record.standbys().isEmpty() || record.standbys().contains(this.self.host());
+		if (isLarge && isStandby) {
 			boolean isFirst = record.standbys().indexOf(this.self.host()) <= 0;
-			return (isFirst || waited >= STANDBY_DELAY_MILLIS) ? Action.TAKE_OVER : Action.WAIT;
+			return (isFirst || waitedMillis >= STANDBY_DELAY_MILLIS) ? Action.TAKE_OVER : Action.WAIT;
 		}
 		if (!this.tableWritable) {
-			return (waited >= NON_STANDBY_DELAY_MILLIS) ? Action.PROBE_TABLE : Action.WAIT;
+			return (waitedMillis >= NON_STANDBY_DELAY_MILLIS) ? Action.PROBE_TABLE : Action.WAIT;
 		}
-		return (waited >= (isLarge ? NON_STANDBY_DELAY_MILLIS : SMALL_HOST_DELAY_MILLIS)) ? Action.TAKE_OVER
+		return (waitedMillis >= (isLarge ? NON_STANDBY_DELAY_MILLIS : SMALL_HOST_DELAY_MILLIS)) ? Action.TAKE_OVER
 				: Action.WAIT;
 	}
 
-	/** What to do about a free pool. */
+	/** Action for a pool without an owner. */
 	enum Action {
 
-		/** Leave it to others for now. */
+		/** Leave the pool to others for now. */
 		WAIT,
 
-		/** Find out whether the table takes writes. */
+		/** Check whether the table accepts writes. */
 		PROBE_TABLE,
 
-		/** Take it over. */
+		/** Take the pool over. */
 		TAKE_OVER
 
 	}
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/TaskPlacer.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/TaskPlacer.java
@@ -19,34 +19,32 @@
 import org.monsoonrelay.model.submission.StepSpec;
 
 /**
- * Offers room to the waiting steps in the order of the queue and starts what fits. A gang
- * starts whole or not at all. Not thread-safe: confined to the control thread.
+ * Offers free capacity to waiting steps in queue order and starts the tasks that fit. A
+ * gang starts as a whole or not at all. Not thread-safe: confined to the control thread.
  */
 final class TaskPlacer {
 
 	/**
-	 * Share of the declared run time after which the steps that follow are asked about;
-	 * an answer takes up to 0.7 s and its tickets last 2 to 2.5 s.
+	 * Share of the declared run time after which eligibility is requested for dependent
+	 * steps; a reply takes up to 0.7 s and tickets are valid for 2 to 2.5 s.
 	 */
 	private static final double PREFETCH_SHARE = 0.5;
 
 	/**
-	 * How long a step that found no room is offered only workers that changed since,
-	 * milliseconds. Bounds what a change costs that no worker shows, as the end of a
-	 * pause of starts there. Searching all workers for all steps in each turn would take
-	 * most of an owner's processor time.
+	 * How long a step that found no free capacity is offered only workers that changed
+	 * since, in milliseconds. Bounds the delay after changes that are not recorded for a
+	 * worker, such as the end of a pause of starts on it. Searching all workers for all
+	 * steps in each pass would take most of the owner's processor time.
 	 */
-	private static final long FULL_SEARCH_INTERVAL_MILLIS = 200;
+	private static final long FULL_SEARCH_MILLIS = 200;
 
 	/**
-	 * Share of the pool in use beyond which a step with time to spare waits for room on
-	 * the workers known as allowed instead of asking about others.
+	 * Share of the pool in use above which a step with slack waits for free capacity on
+	 * its eligible workers instead of querying others.
 	 */
 	private static final double BUSY_POOL_SHARE = 0.6;
 
-	/**
-	 * How long chosen room is kept beyond the expected time of an answer, milliseconds.
-	 */
+	/** How long capacity is held beyond the expected reply time, in milliseconds. */
 	private static final long HOLD_MARGIN_MILLIS = 400;
 
 	private final JobRegistry jobs;
@@ -57,7 +55,7 @@
 
 	private final EligibilityTracker eligibility;
 
-	private final OwnerLease term;
+	private final OwnerLease lease;
 
 	private final PoolClock clock;
 
@@ -77,13 +75,13 @@
 
 	private boolean busy;
 
-	TaskPlacer(JobRegistry jobs, WorkerPool pool, RunController runs, EligibilityTracker eligibility, OwnerLease term,
+	TaskPlacer(JobRegistry jobs, WorkerPool pool, RunController runs, EligibilityTracker eligibility, OwnerLease lease,
 			PoolClock clock, PlacementRules rules) {
 		this.jobs = jobs;
 		this.pool = pool;
 		this.runs = runs;
 		this.eligibility = eligibility;
-		this.term = term;
+		this.lease = lease;
 		this.clock = clock;
 		this.order = rules.order();
 		this.selector = rules.selector();
@@ -99,179 +97,181 @@
 	}
 
 	/**
-	 * Note that whatever an earlier owner started is known, so that its jobs' tasks which
-	 * do not run may be started.
+	 * Records that all runs started by an earlier owner are known, so that tasks of its
+	 * jobs that are not running may be started.
 	 */
 	void markRecovered() {
 		this.recovered = true;
 	}
 
 	/**
-	 * Offer room to all steps that wait.
+	 * Runs one placement pass over all waiting steps.
 	 */
 	void placeAll() {
 		long nowMillis = this.clock.millis();
 		this.runs.suspectUnresponsiveWorkers();
 		this.jobs.updateSteps(nowMillis);
 		this.busy = this.pool.utilization(this.clock.nanos()) > BUSY_POOL_SHARE;
-		List<QueueEntry> steps = new ArrayList<>();
-		Map<QueueEntry, PlacementContext> waiting = new HashMap<>();
+		List<QueueEntry> entries = new ArrayList<>();
+		Map<QueueEntry, PlacementContext> contexts = new HashMap<>();
 		for (ActiveStep step : this.jobs.openSteps()) {
 			List<Integer> tasks = startableTasks(step);
 			if (tasks.isEmpty()) {
-				dependentsToPrefetch(step).stream().map(ActiveStep::queueEntry).forEach(steps::add);
+				dependentsToPrefetch(step).stream().map(ActiveStep::queueEntry).forEach(entries::add);
 				continue;
 			}
-			// What has to wait for workers of an earlier owner is asked about meanwhile.
-			steps.add(step.queueEntry());
+			// Eligibility is requested even while the step waits for earlier owners'
+			// runs.
+			entries.add(step.queueEntry());
 			if (mayStart(step)) {
-				waiting.put(step.queueEntry(), contextOf(step, tasks));
+				contexts.put(step.queueEntry(), contextOf(step, tasks));
 			}
 		}
-		steps.sort(this.order.comparator(nowMillis));
-		GangDemand demand = gangDemand(waiting.values());
-		GangReservations kept = new GangReservations(this.slackThresholdMillis,
+		entries.sort(this.order.comparator(nowMillis));
+		GangDemand demand = gangDemand(contexts.values());
+		GangReservations reservations = new GangReservations(this.slackThresholdMillis,
 				(int) (this.maxReservedShare * this.pool.workers().size()));
-		for (int rank = 0; rank < steps.size(); rank++) {
-			QueueEntry next = steps.get(rank);
-			PlacementContext turn = waiting.get(next);
-			if (turn == null) {
-				requestInitial(contextOf(next.step(), List.of()), rank);
+		for (int rank = 0; rank < entries.size(); rank++) {
+			QueueEntry entry = entries.get(rank);
+			PlacementContext context = contexts.get(entry);
+			if (context == null) {
+				requestInitial(contextOf(entry.step(), List.of()), rank);
 			}
 			else {
-				placeStep(next, turn, rank, demand, kept);
+				placeStep(entry, context, rank, demand, reservations);
 			}
 		}
 	}
 
 	private PlacementContext contextOf(ActiveStep step, List<Integer> tasks) {
-		QueuePolicy accepted = step.job().submission().policy();
-		QueuePolicy policy = this.policies.getOrDefault(accepted.queue(), accepted);
+		QueuePolicy submitted = step.job().submission().policy();
+		QueuePolicy policy = this.policies.getOrDefault(submitted.queue(), submitted);
 		return new PlacementContext(step, tasks, policy, this.eligibility.eligibilityOf(step.key()),
 				this.clock.nanos());
 	}
 
-	// A gang starts whole, so that it waits for each of its tasks.
+	// A gang waits until none of its tasks may run on a worker that has not answered.
 	private List<Integer> startableTasks(ActiveStep step) {
-		List<Integer> open = step.waitingTasks();
-		if (open.isEmpty() || this.pool.hasNoUnconfirmedTasks()) {
-			return open;
+		List<Integer> waiting = step.waitingTasks();
+		if (waiting.isEmpty() || this.pool.hasNoUnconfirmedTasks()) {
+			return waiting;
 		}
-		List<Integer> sure = open.stream()
+		List<Integer> safe = waiting.stream()
 			.filter((index) -> !this.pool.mayRunUnconfirmed(step.key().task(index)))
 			.toList();
-		return (step.spec().gang() && sure.size() < open.size()) ? List.of() : sure;
+		return (step.spec().gang() && safe.size() < waiting.size()) ? List.of() : safe;
 	}
 
 	private boolean mayStart(ActiveStep step) {
 		String job = step.job().id();
-		boolean isUnsure = !this.recovered && this.jobs.isInherited(job);
-		return this.term.canGrantLeases() && !isUnsure && !this.jobs.isDeferred(job);
+		boolean mayAlreadyRun = !this.recovered && this.jobs.isInherited(job);
+		return this.lease.canGrantLeases() && !mayAlreadyRun && !this.jobs.isDeferred(job);
 	}
 
-	private GangDemand gangDemand(Collection<PlacementContext> waiting) {
+	private GangDemand gangDemand(Collection<PlacementContext> contexts) {
 		GangDemand demand = new GangDemand();
-		for (PlacementContext turn : waiting) {
-			if (turn.step().spec().gang()) {
-				eligibleWorkers(turn).forEach((worker) -> demand.add(worker.id()));
+		for (PlacementContext context : contexts) {
+			if (context.step().spec().gang()) {
+				eligibleWorkers(context).forEach((worker) -> demand.add(worker.id()));
 			}
 		}
 		return demand;
 	}
 
-	private void placeStep(QueueEntry next, PlacementContext turn, int rank, GangDemand demand, GangReservations kept) {
-		if (turn.policy().needsEligibility() && !turn.eligibility().hasReply()) {
-			requestInitial(turn, rank);
+	private void placeStep(QueueEntry entry, PlacementContext context, int rank, GangDemand demand,
+			GangReservations reservations) {
+		if (context.policy().needsEligibility() && !context.eligibility().hasReply()) {
+			requestInitial(context, rank);
 			return;
 		}
-		if (turn.step().spec().gang()) {
-			placeGang(next, turn, rank, demand, kept);
+		if (context.step().spec().gang()) {
+			placeGang(entry, context, rank, demand, reservations);
 		}
 		else {
-			placeTasks(turn, rank, demand, kept.availableTo(next, this.clock.millis()));
+			placeTasks(context, rank, demand, reservations.availableTo(entry, this.clock.millis()));
 		}
 	}
 
-	private void placeTasks(PlacementContext turn, int rank, GangDemand demand, Predicate<PoolWorker> open) {
-		ActiveStep step = turn.step();
-		boolean isDue = turn.nowNanos() - step.lastFullSearchNanos() > TimeUnit.MILLISECONDS
-			.toNanos(FULL_SEARCH_INTERVAL_MILLIS);
-		boolean all = isDue || step.lastSearchedChange() < 0;
-		long since = all ? -1 : step.lastSearchedChange();
+	private void placeTasks(PlacementContext context, int rank, GangDemand demand, Predicate<PoolWorker> available) {
+		ActiveStep step = context.step();
+		boolean isDue = context.nowNanos() - step.fullSearchNanos() > TimeUnit.MILLISECONDS.toNanos(FULL_SEARCH_MILLIS);
+		boolean isFullSearch = isDue || step.lastSearchedChange() < 0;
+		long since = isFullSearch ? -1 : step.lastSearchedChange();
 		long changes = this.pool.capacityVersion();
-		List<PoolWorker> fitting = fittingWorkers(turn, open.and((worker) -> worker.capacityVersion() > since));
-		List<PoolWorker> usable = new ArrayList<>(fitting.stream().filter(turn::hasTicket).toList());
-		for (int index : turn.tasks()) {
+		List<PoolWorker> fitting = fittingWorkers(context, available.and((worker) -> worker.capacityVersion() > since));
+		List<PoolWorker> usable = new ArrayList<>(fitting.stream().filter(context::hasTicket).toList());
+		for (int index : context.tasks()) {
 			Optional<PoolWorker> worker = this.selector.select(step, index, usable, demand);
 			if (worker.isEmpty()) {
-				step.recordFailedSearch(changes, all ? turn.nowNanos() : step.lastFullSearchNanos());
-				if (all || !fitting.isEmpty()) {
-					request(turn, rank, () -> EligibilityRequestDraft.of(renewalCandidates(refresh(turn))));
+				step.recordFailedSearch(changes, isFullSearch ? context.nowNanos() : step.fullSearchNanos());
+				if (isFullSearch || !fitting.isEmpty()) {
+					request(context, rank, () -> EligibilityRequestDraft.of(followUpCandidates(refresh(context))));
 				}
 				return;
 			}
-			start(turn, index, step.nextAttempt(index), worker.get());
-			if (!turn.fits(worker.get(), 1)) {
+			start(context, index, step.nextAttempt(index), worker.get());
+			if (!context.fits(worker.get(), 1)) {
 				usable.remove(worker.get());
 			}
 		}
 	}
 
-	private List<PoolWorker> renewalCandidates(PlacementContext turn) {
-		if (turn.tasks().isEmpty()) {
+	private List<PoolWorker> followUpCandidates(PlacementContext context) {
+		if (context.tasks().isEmpty()) {
 			return List.of();
 		}
-		List<PoolWorker> withRoom = fittingWorkers(turn, (worker) -> !turn.hasTicket(worker));
-		return withRoom.isEmpty() ? additionalCandidates(turn)
-				: EligibilityCandidates.selectForRenewal(turn, eligibleWorkers(turn), withRoom);
+		List<PoolWorker> withCapacity = fittingWorkers(context, (worker) -> !context.hasTicket(worker));
+		return withCapacity.isEmpty() ? additionalCandidates(context)
+				: EligibilityCandidates.selectForRenewal(context, eligibleWorkers(context), withCapacity);
 	}
 
-	private List<PoolWorker> additionalCandidates(PlacementContext turn) {
-		if (turn.tasks().isEmpty()) {
+	private List<PoolWorker> additionalCandidates(PlacementContext context) {
+		if (context.tasks().isEmpty()) {
 			return List.of();
 		}
-		List<PoolWorker> unasked = matchingWorkers(turn).stream()
-			.filter((worker) -> !turn.eligibility().wasQueried(worker.id()))
+		List<PoolWorker> unqueried = matchingWorkers(context).stream()
+			.filter((worker) -> !context.eligibility().wasQueried(worker.id()))
 			.toList();
-		return EligibilityCandidates.selectAdditional(turn, eligibleWorkers(turn), unasked, canWait(turn));
+		return EligibilityCandidates.selectAdditional(context, eligibleWorkers(context), unqueried, canWait(context));
 	}
 
-	private boolean canWait(PlacementContext turn) {
-		StepSpec spec = turn.step().spec();
-		boolean hasTime = turn.step().queueEntry().latestStartMillis()
+	private boolean canWait(PlacementContext context) {
+		StepSpec spec = context.step().spec();
+		boolean hasSlack = context.step().queueEntry().latestStartMillis()
 				- this.clock.millis() > this.slackThresholdMillis;
-		return hasTime && !spec.gang() && !spec.longRunning() && this.busy;
+		return hasSlack && !spec.gang() && !spec.longRunning() && this.busy;
 	}
 
-	// The same step in the turn in which its question goes out.
-	private PlacementContext refresh(PlacementContext turn) {
-		return contextOf(turn.step(), turn.step().waitingTasks());
+	// The context of the step at the time when its request is sent.
+	private PlacementContext refresh(PlacementContext context) {
+		return contextOf(context.step(), context.step().waitingTasks());
 	}
 
-	// Looking at these alone, a third of a large pool, takes a third of the time.
-	private Collection<PoolWorker> eligibleWorkers(PlacementContext turn) {
-		if (!turn.policy().needsEligibility()) {
+	// Only eligible workers: a third of a large pool is searched in a third of the time.
+	private Collection<PoolWorker> eligibleWorkers(PlacementContext context) {
+		if (!context.policy().needsEligibility()) {
 			return this.pool.workers();
 		}
-		List<PoolWorker> known = new ArrayList<>();
-		for (String id : turn.eligibility().eligibleWorkers()) {
-			this.pool.worker(id).filter(PoolWorker::isUsable).ifPresent(known::add);
+		List<PoolWorker> eligible = new ArrayList<>();
+		for (String id : context.eligibility().eligibleWorkers()) {
+			this.pool.worker(id).filter(PoolWorker::isUsable).ifPresent(eligible::add);
 		}
-		return known;
+		return eligible;
 	}
 
-	private List<PoolWorker> fittingWorkers(PlacementContext turn, Predicate<PoolWorker> usable) {
+	private List<PoolWorker> fittingWorkers(PlacementContext context, Predicate<PoolWorker> usable) {
 		List<PoolWorker> fitting = new ArrayList<>();
-		for (PoolWorker worker : eligibleWorkers(turn)) {
-			if (usable.test(worker) && turn.matches(worker) && turn.fits(worker, 1)) {
+		for (PoolWorker worker : eligibleWorkers(context)) {
+			if (usable.test(worker) && context.matches(worker) && context.fits(worker, 1)) {
 				fitting.add(worker);
 			}
 		}
 		return fitting;
 	}
 
-	private void placeGang(QueueEntry next, PlacementContext turn, int rank, GangDemand demand, GangReservations kept) {
-		ActiveStep step = turn.step();
+	private void placeGang(QueueEntry entry, PlacementContext context, int rank, GangDemand demand,
+			GangReservations reservations) {
+		ActiveStep step = context.step();
 		if (step.isHoldingCapacity()) {
 			if (this.eligibility.isRequestPending(step.key())) {
 				return;
@@ -279,119 +279,121 @@
 			step.setHoldingCapacity(false);
 			this.pool.workers().forEach((worker) -> worker.releaseHold(step.key()));
 		}
-		List<PoolWorker> fitting = fittingWorkers(turn, kept::isAvailableToGangs);
-		Optional<Map<Integer, PoolWorker>> ready = this.gangs.plan(turn,
-				fitting.stream().filter(turn::hasTicket).toList(), demand);
+		List<PoolWorker> fitting = fittingWorkers(context, reservations::isAvailableToGangs);
+		Optional<Map<Integer, PoolWorker>> ready = this.gangs.plan(context,
+				fitting.stream().filter(context::hasTicket).toList(), demand);
 		if (ready.isPresent()) {
 			int attempt = step.nextAttempt(0);
-			ready.get().forEach((index, worker) -> start(turn, index, attempt, worker));
+			ready.get().forEach((index, worker) -> start(context, index, attempt, worker));
 			return;
 		}
-		Optional<Map<Integer, PoolWorker>> wanted = this.gangs.plan(turn, fitting, demand);
-		if (wanted.isPresent()) {
-			wanted.get().values().forEach(kept::setAside);
-			request(turn, rank, () -> renewalDraft(refresh(turn), demand, kept));
+		Optional<Map<Integer, PoolWorker>> planned = this.gangs.plan(context, fitting, demand);
+		if (planned.isPresent()) {
+			planned.get().values().forEach(reservations::setAside);
+			request(context, rank, () -> renewalDraft(refresh(context), demand, reservations));
 			return;
 		}
-		if (EligibilityCandidates.canHoldAllTasks(turn, eligibleWorkers(turn))) {
-			eligibleWorkers(turn).forEach(kept::setAside);
-			List<PoolWorker> reserved = reserveWorkers(next, turn, kept);
-			if (!reserved.stream().allMatch(turn::hasTicket)) {
-				// The tickets are there when the room is.
-				request(turn, rank, () -> EligibilityRequestDraft.of(reserved));
+		if (EligibilityCandidates.canHoldAllTasks(context, eligibleWorkers(context))) {
+			eligibleWorkers(context).forEach(reservations::setAside);
+			List<PoolWorker> reserved = reserveWorkers(entry, context, reservations);
+			if (!reserved.stream().allMatch(context::hasTicket)) {
+				// Renews the tickets in time for when the workers become free.
+				request(context, rank, () -> EligibilityRequestDraft.of(reserved));
 				return;
 			}
 		}
-		if (turn.nowNanos() - step.lastFullSearchNanos() > TimeUnit.MILLISECONDS.toNanos(FULL_SEARCH_INTERVAL_MILLIS)) {
-			step.recordFailedSearch(this.pool.capacityVersion(), turn.nowNanos());
-			request(turn, rank, () -> EligibilityRequestDraft.of(additionalCandidates(refresh(turn))));
+		if (context.nowNanos() - step.fullSearchNanos() > TimeUnit.MILLISECONDS.toNanos(FULL_SEARCH_MILLIS)) {
+			step.recordFailedSearch(this.pool.capacityVersion(), context.nowNanos());
+			request(context, rank, () -> EligibilityRequestDraft.of(additionalCandidates(refresh(context))));
 		}
 	}
 
-	private List<PoolWorker> reserveWorkers(QueueEntry next, PlacementContext turn, GangReservations kept) {
-		long spare = next.latestStartMillis() - this.clock.millis();
-		return (spare < 0) ? List.of() : kept.reserve(turn, eligibleWorkers(turn), spare - requestMillis(turn),
-				(worker) -> worker.millisUntilIdle(turn.nowNanos()));
+	private List<PoolWorker> reserveWorkers(QueueEntry entry, PlacementContext context, GangReservations reservations) {
+		long slackMillis = entry.latestStartMillis() - this.clock.millis();
+		return (slackMillis < 0) ? List.of() : reservations.reserve(context, eligibleWorkers(context),
+				slackMillis - requestMillis(context), (worker) -> worker.millisUntilIdle(context.nowNanos()));
 	}
 
-	private static long requestMillis(PlacementContext turn) {
-		return turn.policy().needsEligibility() ? (long) turn.policy().eligibility().costMillis(turn.tasks().size())
-				: 0;
+	private static long requestMillis(PlacementContext context) {
+		return context.policy().needsEligibility()
+				? (long) context.policy().eligibility().costMillis(context.tasks().size()) : 0;
 	}
 
-	// Room is kept once the question goes out, and on workers known as allowed: kept for
-	// questions that wait it would grow to most of a pool, with steps starving beside.
-	private EligibilityRequestDraft renewalDraft(PlacementContext turn, GangDemand demand, GangReservations kept) {
-		if (turn.tasks().isEmpty() || !turn.policy().needsEligibility()) {
+	// Capacity is held only once the request is sent, and only on eligible workers: if
+	// queued requests held capacity, holds would grow to most of the pool and starve
+	// other steps.
+	private EligibilityRequestDraft renewalDraft(PlacementContext context, GangDemand demand,
+			GangReservations reservations) {
+		if (context.tasks().isEmpty() || !context.policy().needsEligibility()) {
 			return EligibilityRequestDraft.EMPTY;
 		}
-		return this.gangs.plan(turn, fittingWorkers(turn, kept::isAvailableToGangs), demand)
+		return this.gangs.plan(context, fittingWorkers(context, reservations::isAvailableToGangs), demand)
 			.map((plan) -> EligibilityRequestDraft.of(plan.values().stream().distinct().toList(),
-					() -> holdCapacity(turn, plan)))
+					() -> holdCapacity(context, plan)))
 			.orElse(EligibilityRequestDraft.EMPTY);
 	}
 
-	private void holdCapacity(PlacementContext turn, Map<Integer, PoolWorker> plan) {
+	private void holdCapacity(PlacementContext context, Map<Integer, PoolWorker> plan) {
 		Map<PoolWorker, Integer> counts = new HashMap<>();
 		plan.values().forEach((worker) -> counts.merge(worker, 1, Integer::sum));
-		double millis = turn.policy().eligibility().costMillis(counts.size()) + HOLD_MARGIN_MILLIS;
+		double millis = context.policy().eligibility().costMillis(counts.size()) + HOLD_MARGIN_MILLIS;
 		long until = this.clock.nanos() + TimeUnit.MILLISECONDS.toNanos((long) millis);
-		ActiveStep step = turn.step();
+		ActiveStep step = context.step();
 		step.setHoldingCapacity(true);
 		counts.forEach((worker, count) -> worker.hold(step.key(), step.spec().committedSize().times(count), until));
 	}
 
-	private void start(PlacementContext turn, int index, int attempt, PoolWorker worker) {
-		this.runs.start(turn.step(), index, attempt, worker, turn.ticket(worker));
+	private void start(PlacementContext context, int index, int attempt, PoolWorker worker) {
+		this.runs.start(context.step(), index, attempt, worker, context.ticket(worker));
 	}
 
-	private void requestInitial(PlacementContext turn, int rank) {
-		boolean isWanted = turn.policy().needsEligibility() && !turn.eligibility().hasReply();
-		if (isWanted && this.eligibility.mayRequest(turn.step().key(), rank)) {
-			request(turn, rank,
-					() -> EligibilityRequestDraft.of(EligibilityCandidates.selectInitial(turn, matchingWorkers(turn))));
+	private void requestInitial(PlacementContext context, int rank) {
+		boolean isNeeded = context.policy().needsEligibility() && !context.eligibility().hasReply();
+		if (isNeeded && this.eligibility.mayRequest(context.step().key(), rank)) {
+			request(context, rank, () -> EligibilityRequestDraft
+				.of(EligibilityCandidates.selectInitial(context, matchingWorkers(context))));
 		}
 	}
 
-	private void request(PlacementContext turn, int rank, Supplier<EligibilityRequestDraft> draft) {
-		if (turn.policy().needsEligibility()) {
-			EligibilityTimes times = Objects.requireNonNull(turn.policy().eligibility());
-			this.eligibility.request(turn.step().key(), times, draft, rank);
+	private void request(PlacementContext context, int rank, Supplier<EligibilityRequestDraft> draft) {
+		if (context.policy().needsEligibility()) {
+			EligibilityTimes times = Objects.requireNonNull(context.policy().eligibility());
+			this.eligibility.request(context.step().key(), times, draft, rank);
 		}
 	}
 
-	private List<PoolWorker> matchingWorkers(PlacementContext turn) {
-		Resources size = turn.step().spec().committedSize();
+	private List<PoolWorker> matchingWorkers(PlacementContext context) {
+		Resources size = context.step().spec().committedSize();
 		return this.pool.workers()
 			.stream()
 			.filter((worker) -> worker.isListed() && !worker.isLost() && !worker.info().draining())
-			.filter((worker) -> turn.matches(worker) && worker.info().capacity().covers(size))
+			.filter((worker) -> context.matches(worker) && worker.info().capacity().covers(size))
 			.toList();
 	}
 
-	// Steps that are asked about ahead, because the one before them may end soon.
+	// Dependents of a step that may end soon; their eligibility is requested in advance.
 	private List<ActiveStep> dependentsToPrefetch(ActiveStep step) {
 		if (!step.hasDependents() || step.isIdle()) {
 			return List.of();
 		}
-		double share = PREFETCH_SHARE * step.spec().estimateMillis();
+		double prefetchMillis = PREFETCH_SHARE * step.spec().estimateMillis();
 		long now = this.clock.nanos();
-		List<Run> alive = step.activeRuns();
-		boolean isEarly = alive.stream()
-			.anyMatch((run) -> TimeUnit.NANOSECONDS.toMillis(now - run.requestedNanos()) < share);
+		List<Run> active = step.activeRuns();
+		boolean isEarly = active.stream()
+			.anyMatch((run) -> TimeUnit.NANOSECONDS.toMillis(now - run.requestedNanos()) < prefetchMillis);
 		if (isEarly || !contextOf(step, List.of()).policy().needsEligibility()) {
 			return List.of();
 		}
-		List<ActiveStep> followers = new ArrayList<>();
+		List<ActiveStep> dependents = new ArrayList<>();
 		List<StepSpec> steps = step.job().submission().steps();
 		for (int i = step.key().step() + 1; i < steps.size(); i++) {
 			StepKey next = new StepKey(step.key().job(), step.key().occurrence(), i);
 			if (steps.get(i).dependsOn().contains(step.key().step())
 					&& !this.eligibility.eligibilityOf(next).hasReply()) {
-				followers.add(new ActiveStep(next, step.job(), 0));
+				dependents.add(new ActiveStep(next, step.job(), 0));
 			}
 		}
-		return followers;
+		return dependents;
 	}
 
 }
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/WorkerSelector.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/WorkerSelector.java
@@ -4,17 +4,16 @@
 import java.util.Optional;
 
 /**
- * Chooses a worker for a task among those that may take it. Implementations are
- * stateless.
+ * Selects a worker for a task among the candidates. Implementations are stateless.
  */
 interface WorkerSelector {
 
 	/**
-	 * Choose a worker.
+	 * Selects a worker.
 	 * @param step the step
-	 * @param index the task
-	 * @param candidates workers with room that may run the task
-	 * @param demand how much waiting gangs want each worker
+	 * @param index index of the task
+	 * @param candidates eligible workers with enough free capacity for the task
+	 * @param demand how many waiting gangs could use each worker
 	 * @return the worker, empty if there are no candidates
 	 */
 	Optional<PoolWorker> select(ActiveStep step, int index, List<PoolWorker> candidates, GangDemand demand);
