--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/PoolWorker.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/PoolWorker.java
@@ -39,6 +39,7 @@
 
 	private boolean reachable;
 
+	// Whether the durable owner record lists this worker as usable.
 	private boolean recorded;
 
 	private boolean lost;
@@ -47,6 +48,7 @@
 
 	private long durableSequence;
 
+	// Sequence numbers that are processed although an earlier one may be deferred.
 	private final TreeSet<Long> processedAhead = new TreeSet<>();
 
 	private List<TerminatedTask> deferredTerminations = List.of();
@@ -165,7 +167,7 @@
 
 	/**
 	 * Returns whether the worker accepts new work: it is usable, not suspected, recorded
-	 * in the owner record and not avoided because of consecutive failures.
+	 * in the owner record and not avoided after failures or a refused start.
 	 * @param nowNanos the current monotonic time
 	 * @return {@code true} if the worker accepts new work
 	 */
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/Run.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/Run.java
@@ -33,16 +33,16 @@
 
 	private long estimatedEndNanos;
 
-	private Run(TaskKey task, int attempt, String workerId, Resources size, State state, long orderedNanos,
+	private Run(TaskKey task, int attempt, String workerId, Resources size, State state, long requestedNanos,
 			boolean adopted) {
 		this.task = task;
 		this.attempt = attempt;
 		this.workerId = workerId;
 		this.size = size;
 		this.state = state;
-		this.requestedNanos = orderedNanos;
+		this.requestedNanos = requestedNanos;
 		this.adopted = adopted;
-		this.estimatedEndNanos = orderedNanos;
+		this.estimatedEndNanos = requestedNanos;
 	}
 
 	/**
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/RunAdoption.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/RunAdoption.java
@@ -15,7 +15,7 @@
  * those that an earlier owner started. Invariants: a run that is reported neither as
  * active nor as terminated is lost; a run whose job is not loaded yet occupies the whole
  * capacity of the worker and is neither stopped nor dropped until the job is loaded or is
- * known not to exist. Not thread-safe: confined to the control thread.
+ * presumed not to exist. Not thread-safe: confined to the control thread.
  */
 final class RunAdoption {
 
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/RunController.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/RunController.java
@@ -48,10 +48,10 @@
 	 */
 	private static final long DEFERRED_POLL_DELAY_MILLIS = 100;
 
-	/** Delay before an unansweredRequests start is retried, milliseconds. */
+	/** Delay before an unanswered start is retried, milliseconds. */
 	private static final long START_RETRY_DELAY_MILLIS = 40;
 
-	/** Number of unansweredRequests start requests after which the run is stopped. */
+	/** Number of unanswered start requests after which the run is stopped. */
 	private static final int MAX_START_REQUESTS = 4;
 
 	/** How long a worker is avoided after it refused a start, milliseconds. */
@@ -224,7 +224,7 @@
 	 * @param index the index of the task in the step
 	 * @param attempt the attempt number
 	 * @param worker the worker
-	 * @param ticket the eligibility ticket, empty if noAnswer is required
+	 * @param ticket the eligibility ticket, empty if none is required
 	 */
 	void start(ActiveStep step, int index, int attempt, PoolWorker worker, String ticket) {
 		long now = this.clock.nanos();
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/RunTerminationHandler.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/RunTerminationHandler.java
@@ -19,7 +19,7 @@
  * Updates jobs when their runs terminate. Invariants: only failures count as attempts; if
  * a member of a gang terminates without success, all members of the gang are stopped;
  * when a job ends, all its runs are stopped; a termination is ignored only if its job has
- * ended or does not exist. Not thread-safe: confined to the control thread.
+ * ended or is presumed not to exist. Not thread-safe: confined to the control thread.
  */
 final class RunTerminationHandler {
 
@@ -67,7 +67,9 @@
 
 	private void process(PoolWorker worker, TerminatedTask termination) {
 		long ranMillis = -1;
-		Run run = worker.run(termination.task()).filter((held) -> held.attempt() == termination.attempt()).orElse(null);
+		Run run = worker.run(termination.task())
+			.filter((active) -> active.attempt() == termination.attempt())
+			.orElse(null);
 		if (run != null) {
 			ranMillis = run.isAdopted() ? -1 : ageMillis(run);
 			if (termination.reason() != TerminationReason.DONE) {
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/UnresponsiveWorkerDetector.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/UnresponsiveWorkerDetector.java
@@ -11,9 +11,10 @@
  * Detects unresponsive workers before their polls time out, so that no more tasks are
  * placed on them. A worker is suspected if a request to it stays unanswered, or if two
  * workers of its failure domain have unanswered requests and no worker of the domain
- * responded since. Without this detection, nearly every job with several tasks loses one
- * of them to a partitioned failure domain until the partition heals, because a poll takes
- * 1.45 s to fail. A suspected worker is used again after its next response. Stateless.
+ * responded since the oldest of them was sent. Without this detection, nearly every job
+ * with several tasks loses one of them to a partitioned failure domain until the
+ * partition heals, because a poll takes 1.45 s to fail. A suspected worker is used again
+ * after its next response. Stateless.
  */
 final class UnresponsiveWorkerDetector {
 
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/WorkerPool.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/WorkerPool.java
@@ -24,8 +24,10 @@
 
 	private final Set<String> recordedWorkers = new HashSet<>();
 
+	// Workers on which an earlier owner may have started any task.
 	private final Set<String> unreconciledWorkers = new HashSet<>();
 
+	// Tasks on workers that were unreachable or draining under an earlier owner.
 	private final Map<String, Set<TaskKey>> unconfirmedTasks = new HashMap<>();
 
 	private long capacityVersion;
@@ -39,7 +41,7 @@
 		this.recordedWorkers.addAll(earlier.workers());
 		earlier.closed()
 			.forEach((worker, tasks) -> parseTasks(tasks).ifPresentOrElse(
-					(known) -> this.unconfirmedTasks.put(worker, known), () -> this.unreconciledWorkers.add(worker)));
+					(parsed) -> this.unconfirmedTasks.put(worker, parsed), () -> this.unreconciledWorkers.add(worker)));
 	}
 
 	// If the tasks cannot be parsed, any task may run on the worker.
@@ -178,12 +180,20 @@
 		ids.stream().map(this.workers::get).filter((worker) -> worker != null).forEach(PoolWorker::markRecorded);
 	}
 
+	/**
+	 * Returns up to which sequence number the terminations of each worker are processed.
+	 * @return the sequence numbers by the worker's id
+	 */
 	Map<String, Long> processedSequences() {
 		Map<String, Long> sequences = new HashMap<>();
 		this.workers.values().forEach((worker) -> sequences.put(worker.id(), worker.processedSequence()));
 		return sequences;
 	}
 
+	/**
+	 * Records up to which sequence number the terminations of workers are durable.
+	 * @param sequences the sequence numbers by the worker's id
+	 */
 	void markDurable(Map<String, Long> sequences) {
 		sequences.forEach((id, sequence) -> worker(id).ifPresent((worker) -> worker.markDurable(sequence)));
 	}
@@ -226,11 +236,11 @@
 	 */
 	record RecordedWorkers(List<String> workers, Map<String, List<String>> closedWorkers) {
 
-		/**
-		 * Maximum tasks in a record; a row is limited to 48 KB, a task takes 24 bytes.
-		 */
+		/** Maximum tasks in a record: a row takes 48 KB, a task 24 bytes. */
 		private static final int MAX_TASKS = 1000;
 
+		// If the record would become too large, it lists the closed workers as workers on
+		// which any task may run.
 		private RecordedWorkers bounded() {
 			if (this.closedWorkers.values().stream().mapToInt(List::size).sum() <= MAX_TASKS) {
 				return this;
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/FaultyWorkersTests.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/FaultyWorkersTests.java
@@ -10,6 +10,11 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+/**
+ * Jobs complete although workers crash, become unreachable, fail all runs, or delay or
+ * lose responses. No task runs twice at the same time, and no worker exceeds its
+ * capacity.
+ */
 class FaultyWorkersTests {
 
 	private static final long LEASE_EXPIRY_MILLIS = 10_000;
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/LeasesTests.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/LeasesTests.java
@@ -7,6 +7,10 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+/**
+ * Leases of workers and of the owner: a lease counts as expired only when no run can be
+ * active under it any more.
+ */
 class LeasesTests {
 
 	private long nowNanos = 1;
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/TakeOverWithUnreachableWorkersTests.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/TakeOverWithUnreachableWorkersTests.java
@@ -7,6 +7,11 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+/**
+ * Take-overs while the next owner cannot reach all workers of the former owner. Tasks
+ * that may still run there are not started again before the leases expire, and all other
+ * tasks start without delay.
+ */
 class TakeOverWithUnreachableWorkersTests {
 
 	private static final long LEASE_EXPIRY_MILLIS = 10_000;
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/UnresponsiveWorkerDetectorTests.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/UnresponsiveWorkerDetectorTests.java
@@ -9,6 +9,9 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+/**
+ * Workers and failure domains that stop responding get no more tasks.
+ */
 class UnresponsiveWorkerDetectorTests {
 
 	private static final Resources SIZE = new Resources(1000, 100, 0);
