--- a/monsoonrelay-gateway/src/main/java/org/monsoonrelay/gateway/CallerDrain.java
+++ b/monsoonrelay-gateway/src/main/java/org/monsoonrelay/gateway/CallerDrain.java
@@ -21,7 +21,7 @@
 
 	private volatile boolean stopping;
 
-	private final BooleanSupplier able;
+	private final BooleanSupplier canServe;
 
 	public CallerDrain(LongSupplier monotonicNanos) {
 		this(monotonicNanos, () -> true);
@@ -30,11 +30,11 @@
 	/**
 	 * Create a drain.
 	 * @param monotonicNanos the steady clock
-	 * @param able whether the gateway can serve callers now
+	 * @param canServe whether the gateway can serve callers now
 	 */
-	public CallerDrain(LongSupplier monotonicNanos, BooleanSupplier able) {
+	public CallerDrain(LongSupplier monotonicNanos, BooleanSupplier canServe) {
 		this.monotonicNanos = monotonicNanos;
-		this.able = able;
+		this.canServe = canServe;
 	}
 
 	/**
@@ -44,7 +44,7 @@
 	public void addTo(Jooby application) {
 		application.before((context) -> {
 			this.lastArrivalNanos.set(this.monotonicNanos.getAsLong());
-			if (this.stopping || !this.able.getAsBoolean()) {
+			if (this.stopping || !this.canServe.getAsBoolean()) {
 				context.setResponseHeader("Connection", "close");
 			}
 		});
@@ -64,7 +64,7 @@
 	 * @param nanos how long no request has to have come
 	 * @return {@code true} if none came for that long
 	 */
-	public boolean isQuietFor(long nanos) {
+	public boolean isIdleFor(long nanos) {
 		return this.monotonicNanos.getAsLong() - this.lastArrivalNanos.get() >= nanos;
 	}
 
--- a/monsoonrelay-gateway/src/main/java/org/monsoonrelay/gateway/CallerHeaders.java
+++ b/monsoonrelay-gateway/src/main/java/org/monsoonrelay/gateway/CallerHeaders.java
@@ -47,37 +47,37 @@
 		return Set.of(String.join(" ", names).toLowerCase(Locale.ROOT).split(" "));
 	}
 
-	static List<HeaderLine> forwarded(Context context) {
+	static List<HeaderLine> toForward(Context context) {
 		List<HeaderLine> headers = new ArrayList<>();
 		context.header().toMultimap().forEach((name, values) -> {
 			if (!NOT_FORWARDED.contains(name.toLowerCase(Locale.ROOT))) {
-				String shown = name.equalsIgnoreCase(FormBodies.HIDDEN_CONTENT_TYPE) ? "Content-Type" : name;
-				values.forEach((value) -> headers.add(new HeaderLine(shown, decoded(value))));
+				String forwardedName = name.equalsIgnoreCase(FormBodies.HIDDEN_CONTENT_TYPE) ? "Content-Type" : name;
+				values.forEach((value) -> headers.add(new HeaderLine(forwardedName, decodeUtf8(value))));
 			}
 		});
 		return headers;
 	}
 
-	private static String decoded(String value) {
+	private static String decodeUtf8(String value) {
 		// The server reads each byte as one character; the client writes UTF-8.
 		return new String(value.getBytes(StandardCharsets.ISO_8859_1), StandardCharsets.UTF_8);
 	}
 
-	static void answer(Context context, List<HeaderLine> headers) {
-		Map<String, List<String>> lines = new LinkedHashMap<>();
+	static void copyToResponse(Context context, List<HeaderLine> headers) {
+		Map<String, List<String>> valuesByName = new LinkedHashMap<>();
 		for (HeaderLine header : headers) {
 			String name = header.name().toLowerCase(Locale.ROOT);
 			if (name.equals(SET_COOKIE)) {
 				context.setResponseCookie(new RawCookie(header.value()));
 			}
 			else if (!NOT_RETURNED.contains(name)) {
-				lines.computeIfAbsent(name, (absent) -> new ArrayList<>()).add(header.value());
+				valuesByName.computeIfAbsent(name, (missing) -> new ArrayList<>()).add(header.value());
 			}
 		}
-		lines.forEach((name, values) -> context.setResponseHeader(name, encoded(String.join(", ", values))));
+		valuesByName.forEach((name, values) -> context.setResponseHeader(name, encodeUtf8(String.join(", ", values))));
 	}
 
-	private static String encoded(String value) {
+	private static String encodeUtf8(String value) {
 		return new String(value.getBytes(StandardCharsets.UTF_8), StandardCharsets.ISO_8859_1);
 	}
 
--- a/monsoonrelay-gateway/src/main/java/org/monsoonrelay/gateway/CallerRoutes.java
+++ b/monsoonrelay-gateway/src/main/java/org/monsoonrelay/gateway/CallerRoutes.java
@@ -29,7 +29,7 @@
 	private static final int MAXIMUM_KEY_LENGTH = 255;
 
 	/** A third of the heap that a gateway is given. */
-	static final long MAXIMUM_HELD_BYTES = 32 * 1024 * 1024;
+	static final long MAXIMUM_REQUEST_BYTES = 32 * 1024 * 1024;
 
 	private static final long MILLIS_PER_SECOND = 1000;
 
@@ -43,7 +43,7 @@
 
 	private final UnknownOutcomeLog unknownOutcomes;
 
-	private final HeldBytes heldBytes = new HeldBytes(MAXIMUM_HELD_BYTES);
+	private final RequestMemoryLimiter memoryLimiter = new RequestMemoryLimiter(MAXIMUM_REQUEST_BYTES);
 
 	private final AtomicBoolean stopping = new AtomicBoolean();
 
@@ -62,7 +62,7 @@
 		application.post(path, this::handle);
 		application.put(path, this::handle);
 		application.delete(path, this::handle);
-		application.error((context, cause, status) -> refuse(context, this.requestIds.get(),
+		application.error((context, cause, status) -> sendProblem(context, this.requestIds.get(),
 				Problem.of("invalid-request", "Invalid request", status.value(), "Not run: " + status.reason())));
 	}
 
@@ -74,22 +74,22 @@
 		String id = this.requestIds.get();
 		String service = context.path("service").value();
 		String operation = context.path("operation").value();
-		Optional<ServiceDeclaration> declared = this.services.declaration(service);
+		Optional<ServiceDeclaration> declaration = this.services.declaration(service);
 		if (this.stopping.get()) {
-			return answer(context, id, notRun(NotRunReason.STOPPING));
+			return sendOutcome(context, id, notRun(NotRunReason.STOPPING));
 		}
-		if (declared.isEmpty()) {
-			return answer(context, id, notRun(NotRunReason.UNKNOWN_SERVICE));
+		if (declaration.isEmpty()) {
+			return sendOutcome(context, id, notRun(NotRunReason.UNKNOWN_SERVICE));
 		}
-		Optional<Operation> wanted = declared.get()
+		Optional<Operation> declaredOperation = declaration.get()
 			.operations()
 			.stream()
 			.filter((candidate) -> candidate.name().equals(operation))
 			.findFirst();
-		if (wanted.isEmpty()) {
-			return answer(context, id, notRun(NotRunReason.UNKNOWN_OPERATION));
+		if (declaredOperation.isEmpty()) {
+			return sendOutcome(context, id, notRun(NotRunReason.UNKNOWN_OPERATION));
 		}
-		return forward(context, id, service, wanted.get());
+		return forward(context, id, service, declaredOperation.get());
 	}
 
 	private static RequestOutcome notRun(NotRunReason reason) {
@@ -99,30 +99,30 @@
 	private Object forward(Context context, String id, String service, Operation operation) throws Exception {
 		Optional<Instant> deadline = deadline(context, operation);
 		if (deadline.isEmpty()) {
-			return refuse(context, id, OutcomeProblems.invalid("The header " + CallerHeaders.DEADLINE
+			return sendProblem(context, id, OutcomeProblems.invalid("The header " + CallerHeaders.DEADLINE
 					+ " is not a number of milliseconds up to " + MAXIMUM_DEADLINE_MILLIS + "."));
 		}
 		Optional<String> key = context.header(CallerHeaders.IDEMPOTENCY_KEY).toOptional();
 		if (key.filter((text) -> text.isBlank() || text.length() > MAXIMUM_KEY_LENGTH).isPresent()) {
-			return refuse(context, id, OutcomeProblems.invalid("The header " + CallerHeaders.IDEMPOTENCY_KEY
+			return sendProblem(context, id, OutcomeProblems.invalid("The header " + CallerHeaders.IDEMPOTENCY_KEY
 					+ " is not 1 to " + MAXIMUM_KEY_LENGTH + " characters long."));
 		}
 		String query = context.queryString();
 		ForwardedRequest request = new ForwardedRequest(id, service, operation, context.getMethod(),
-				(query.startsWith("?")) ? query.substring(1) : query, CallerHeaders.forwarded(context),
+				(query.startsWith("?")) ? query.substring(1) : query, CallerHeaders.toForward(context),
 				context.body().bytes(), deadline.get());
 		int size = request.body().length;
-		if (!this.heldBytes.tryHold(size)) {
-			return answer(context, id, notRun(NotRunReason.OVERLOAD));
+		if (!this.memoryLimiter.tryAcquire(size)) {
+			return sendOutcome(context, id, notRun(NotRunReason.OVERLOAD));
 		}
 		return context.detach((detached) -> this.services.route(request, key)
 			.exceptionally((failure) -> new RequestOutcome.Unknown(String.valueOf(failure.getMessage())))
 			.thenAccept((outcome) -> {
-				this.heldBytes.release(size);
+				this.memoryLimiter.release(size);
 				if (outcome instanceof RequestOutcome.Unknown unknown) {
 					this.unknownOutcomes.log(request, unknown.detail());
 				}
-				answer(detached, id, outcome);
+				sendOutcome(detached, id, outcome);
 			}));
 	}
 
@@ -141,28 +141,28 @@
 		}
 	}
 
-	private Context answer(Context context, String id, RequestOutcome outcome) {
+	private Context sendOutcome(Context context, String id, RequestOutcome outcome) {
 		this.metrics.counter("requests." + outcome.getClass().getSimpleName()).inc();
 		if (outcome instanceof RequestOutcome.Answered answered) {
 			context.setResponseCode(answered.status());
-			CallerHeaders.answer(context, answered.headers());
+			CallerHeaders.copyToResponse(context, answered.headers());
 			context.setResponseHeader(CallerHeaders.REQUEST_ID, id);
 			return context.send(answered.body());
 		}
 		if (outcome instanceof RequestOutcome.NotRun notRun) {
 			if (notRun.retryAfter().compareTo(Duration.ZERO) > 0) {
-				context.setResponseHeader("Retry-After", Long.toString(seconds(notRun.retryAfter())));
+				context.setResponseHeader("Retry-After", Long.toString(roundedUpSeconds(notRun.retryAfter())));
 			}
-			return refuse(context, id, OutcomeProblems.notRun(notRun.reason()));
+			return sendProblem(context, id, OutcomeProblems.notRun(notRun.reason()));
 		}
-		return refuse(context, id, OutcomeProblems.unknown(((RequestOutcome.Unknown) outcome).detail()));
+		return sendProblem(context, id, OutcomeProblems.unknown(((RequestOutcome.Unknown) outcome).detail()));
 	}
 
-	private static long seconds(Duration wait) {
+	private static long roundedUpSeconds(Duration wait) {
 		return Math.max(1, (wait.toMillis() + MILLIS_PER_SECOND - 1) / MILLIS_PER_SECOND);
 	}
 
-	private static Context refuse(Context context, String id, Problem problem) {
+	private static Context sendProblem(Context context, String id, Problem problem) {
 		context.setResponseHeader(CallerHeaders.REQUEST_ID, id);
 		problem.withInstance(id).send(context);
 		return context;
--- a/monsoonrelay-gateway/src/main/java/org/monsoonrelay/gateway/Gateway.java
+++ b/monsoonrelay-gateway/src/main/java/org/monsoonrelay/gateway/Gateway.java
@@ -44,13 +44,13 @@
 
 	private static final int MAXIMUM_BODY_BYTES = 4 * 1024 * 1024;
 
-	private static final int EXPIRE_MILLIS = 2;
+	private static final int EXPIRY_INTERVAL_MILLIS = 2;
 
-	private static final int POLL_MILLIS = 1000;
+	private static final int POLL_INTERVAL_MILLIS = 1000;
 
 	private static final int DRAIN_CHECK_MILLIS = 10;
 
-	private static final long QUIET_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
+	private static final long IDLE_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
 
 	private final GatewaySettings settings;
 
@@ -88,7 +88,7 @@
 		ProcessMetrics.addTo(metrics, this.tracker);
 		this.platform = new HttpPlatform(settings.node().platformAddress(), PLATFORM_TIMEOUT);
 		this.follower = new ControlFollower(new ControlLog(this.platform, this.platform, clock), this.tracker);
-		this.hostList = new HostListFollower(this.platform, this::update);
+		this.hostList = new HostListFollower(this.platform, this::updateHosts);
 		this.client = new HttpBackendClient(clock);
 		this.services = new GatewayServices(settings, this.tracker, this.client, this.platform, clock);
 		this.callerRoutes = new CallerRoutes(this.services, clock, () -> UUID.randomUUID().toString(), metrics,
@@ -108,8 +108,9 @@
 		this.network.listen();
 		this.admin.start();
 		this.callers.start();
-		this.timer.scheduleWithFixedDelay(this::poll, 0, POLL_MILLIS, TimeUnit.MILLISECONDS);
-		this.timer.scheduleWithFixedDelay(this.services::expire, EXPIRE_MILLIS, EXPIRE_MILLIS, TimeUnit.MILLISECONDS);
+		this.timer.scheduleWithFixedDelay(this::poll, 0, POLL_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
+		this.timer.scheduleWithFixedDelay(this.services::refuseExpired, EXPIRY_INTERVAL_MILLIS, EXPIRY_INTERVAL_MILLIS,
+				TimeUnit.MILLISECONDS);
 		LOGGER.log(System.Logger.Level.INFO, "gateway {0} listens for callers at {1}", this.settings.node().name(),
 				this.settings.callerAddress());
 	}
@@ -126,7 +127,7 @@
 
 	private void poll() {
 		this.follower.poll();
-		this.services.retryDelayed();
+		this.services.retryDelayedWrites();
 		this.hostList.poll(this.network, this.settings.node().peerAddresses());
 		Envelope.Builder announcement = Envelope.newBuilder()
 			.setAnnouncement(Announcement.newBuilder()
@@ -135,14 +136,14 @@
 				.setAddress(this.settings.node().peerAddress())
 				.setFailureDomain(this.settings.node().failureDomain())
 				.setVersion(this.tracker.inForce().head().version())
-				.addAllLeavingBackendServers(this.services.leaving()));
+				.addAllLeavingBackendServers(this.services.leavingIncarnations()));
 		for (HostAddress peer : this.settings.node().peerAddresses()) {
 			this.network.tell(peer, announcement.clone());
 		}
 	}
 
-	private void update(HostList hosts) {
-		this.services.update(hosts);
+	private void updateHosts(HostList hosts) {
+		this.services.updateHosts(hosts);
 		this.client.retain(hosts.hosts().stream().map(Host::address).collect(Collectors.toSet()));
 	}
 
@@ -166,11 +167,11 @@
 	void drain() {
 		this.callerRoutes.stop();
 		this.callerDrain.stop();
-		long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(this.settings.drainMillis());
+		long endNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(this.settings.drainMillis());
 		CompletableFuture<Void> drained = new CompletableFuture<>();
 		this.timer.scheduleWithFixedDelay(() -> {
-			boolean isDone = this.services.unfinished() == 0 && this.callerDrain.isQuietFor(QUIET_NANOS);
-			if (isDone || System.nanoTime() - end > 0) {
+			boolean isDone = this.services.unfinishedCount() == 0 && this.callerDrain.isIdleFor(IDLE_NANOS);
+			if (isDone || System.nanoTime() - endNanos > 0) {
 				drained.complete(null);
 			}
 		}, 0, DRAIN_CHECK_MILLIS, TimeUnit.MILLISECONDS);
--- a/monsoonrelay-gateway/src/main/java/org/monsoonrelay/gateway/GatewayServices.java
+++ b/monsoonrelay-gateway/src/main/java/org/monsoonrelay/gateway/GatewayServices.java
@@ -32,9 +32,9 @@
 
 	static final Duration RETRY_AFTER = Duration.ofSeconds(1);
 
-	private static final double RETRY_SHARE = 0.1;
+	private static final double RETRIES_PER_REQUEST = 0.1;
 
-	private static final double RETRY_RESERVE = 20;
+	private static final double RETRY_CAPACITY = 20;
 
 	private final GatewaySettings settings;
 
@@ -76,18 +76,18 @@
 	}
 
 	private CompletableFuture<RequestOutcome> route(ForwardedRequest request) {
-		return this.routers.computeIfAbsent(request.service(), this::router).route(request);
+		return this.routers.computeIfAbsent(request.service(), this::createRouter).route(request);
 	}
 
-	private ServiceRouter router(String service) {
+	private ServiceRouter createRouter(String service) {
 		BackendPool pool = new BackendPool(this.settings.slotShare(), this.settings.node().failureDomain(), this.clock,
 				RandomSource.XO_RO_SHI_RO_128_PP.create());
 		pool.update(backendServers(this.hosts, service));
-		return new ServiceRouter(pool, this.client, new RetryBudget(RETRY_SHARE, RETRY_RESERVE), this.clock,
+		return new ServiceRouter(pool, this.client, new RetryBudget(RETRIES_PER_REQUEST, RETRY_CAPACITY), this.clock,
 				this.settings.maximumWaiting(), Duration.ofMillis(this.settings.attemptLimitMillis()));
 	}
 
-	void update(HostList list) {
+	void updateHosts(HostList list) {
 		if (list.version() < this.hosts.version()) {
 			return;
 		}
@@ -114,22 +114,22 @@
 	 * The backend servers that are leaving, by whichever word came first.
 	 * @return their incarnations
 	 */
-	Set<String> leaving() {
+	Set<String> leavingIncarnations() {
 		return this.routers.values()
 			.stream()
 			.flatMap((router) -> router.pool().leavingIncarnations().stream())
 			.collect(Collectors.toUnmodifiableSet());
 	}
 
-	void expire() {
+	void refuseExpired() {
 		this.routers.values().forEach(ServiceRouter::refuseExpired);
 	}
 
-	void retryDelayed() {
+	void retryDelayedWrites() {
 		this.idempotent.retryDelayedWrites();
 	}
 
-	int unfinished() {
+	int unfinishedCount() {
 		return this.idempotent.pendingWrites()
 				+ this.routers.values().stream().mapToInt((router) -> router.waitingCount() + router.inFlight()).sum();
 	}
--- a/monsoonrelay-gateway/src/main/java/org/monsoonrelay/gateway/HeldBytes.java
+++ b/monsoonrelay-gateway/src/main/java/org/monsoonrelay/gateway/RequestMemoryLimiter.java
@@ -4,17 +4,17 @@
 
 /**
  * Counts the bytes of the requests that the gateway holds, so that a flood of large
- * bodies is refused before it fills the heap. Invariant: never more than the limit.
+ * bodies is refused before it fills the heap. Invariant: never more than the limitBytes.
  * Thread-safe.
  */
-final class HeldBytes {
+final class RequestMemoryLimiter {
 
-	private final long limit;
+	private final long limitBytes;
 
-	private final AtomicLong held = new AtomicLong();
+	private final AtomicLong usedBytes = new AtomicLong();
 
-	HeldBytes(long limit) {
-		this.limit = limit;
+	RequestMemoryLimiter(long limitBytes) {
+		this.limitBytes = limitBytes;
 	}
 
 	/**
@@ -22,8 +22,8 @@
 	 * @param bytes its size
 	 * @return {@code false} if there is no room for it
 	 */
-	boolean tryHold(long bytes) {
-		if (this.held.addAndGet(bytes) <= this.limit) {
+	boolean tryAcquire(long bytes) {
+		if (this.usedBytes.addAndGet(bytes) <= this.limitBytes) {
 			return true;
 		}
 		release(bytes);
@@ -31,7 +31,7 @@
 	}
 
 	void release(long bytes) {
-		this.held.addAndGet(-bytes);
+		this.usedBytes.addAndGet(-bytes);
 	}
 
 }
--- a/monsoonrelay-gateway/src/main/java/org/monsoonrelay/gateway/UnknownOutcomeLog.java
+++ b/monsoonrelay-gateway/src/main/java/org/monsoonrelay/gateway/UnknownOutcomeLog.java
@@ -23,9 +23,9 @@
 
 	private Instant periodEnd = Instant.MIN;
 
-	private int linesLeft;
+	private int remainingLines;
 
-	private int leftOut;
+	private int suppressedCount;
 
 	UnknownOutcomeLog(InstantSource clock) {
 		this.clock = clock;
@@ -35,17 +35,17 @@
 		Instant now = this.clock.instant();
 		if (!now.isBefore(this.periodEnd)) {
 			this.periodEnd = now.plus(PERIOD);
-			this.linesLeft = LINES_PER_PERIOD;
+			this.remainingLines = LINES_PER_PERIOD;
 		}
-		if (this.linesLeft == 0) {
-			this.leftOut++;
+		if (this.remainingLines == 0) {
+			this.suppressedCount++;
 			return;
 		}
-		this.linesLeft--;
+		this.remainingLines--;
 		LOGGER.log(System.Logger.Level.WARNING,
 				"outcome unknown: request {0}, service {1}, operation {2}: {3}; {4} such lines left out before",
-				request.id(), request.service(), request.operation().name(), detail, this.leftOut);
-		this.leftOut = 0;
+				request.id(), request.service(), request.operation().name(), detail, this.suppressedCount);
+		this.suppressedCount = 0;
 	}
 
 }
--- a/monsoonrelay-gateway/src/main/java/org/monsoonrelay/gateway/jobs/JobGateway.java
+++ b/monsoonrelay-gateway/src/main/java/org/monsoonrelay/gateway/jobs/JobGateway.java
@@ -44,19 +44,19 @@
 	 * them itself: bounds what a lost message costs. Spares six gateways 60 of their 66
 	 * calls a second (worked out).
 	 */
-	private static final Duration TOLD_SPACING = Duration.ofMillis(700);
+	private static final Duration NOTIFIED_READ_INTERVAL = Duration.ofMillis(700);
 
 	/**
 	 * The same once that has gone on for a while. A call brings the whole progress of
 	 * each job that changed, once however often it did.
 	 */
-	private static final Duration STEADY_SPACING = Duration.ofMillis(2000);
+	private static final Duration STEADY_READ_INTERVAL = Duration.ofMillis(2000);
 
 	/**
 	 * The same while the owner is not heard of; a state read by a caller is this much
 	 * older at most.
 	 */
-	private static final Duration STATES_SPACING = Duration.ofMillis(90);
+	private static final Duration UNNOTIFIED_READ_INTERVAL = Duration.ofMillis(90);
 
 	private static final int DRAIN_CHECK_MILLIS = 20;
 
@@ -65,25 +65,25 @@
 	private static final int STORAGE_CHECK_MILLIS = 50;
 
 	/** Greater than the name of any host. */
-	private static final String NO_HOST = "~";
+	private static final String AFTER_LAST_HOST = "~";
 
 	/** A stopping gateway leaves when no request has come for this long. */
-	private static final long QUIET_MILLIS = 1500;
+	private static final long IDLE_MILLIS = 1500;
 
 	/** Time kept back from the platform's limit for a planned stop, milliseconds. */
 	private static final long STOP_MARGIN_MILLIS = 900;
 
 	private final HostSettings settings;
 
-	private final ScheduledExecutorService timer = timer();
+	private final ScheduledExecutorService timer = createTimer();
 
 	private final PartitionedTable table;
 
 	private final ConfigurationFeed configuration;
 
-	private final OwnerLink owner;
+	private final OwnerLink ownerLink;
 
-	private final TableFollower states;
+	private final TableFollower statesFollower;
 
 	private final StorageWatch storage;
 
@@ -109,15 +109,16 @@
 			PeerNetwork network, MetricRegistry metrics, DecisionLog log, UnreadableRows unreadable) {
 		this.settings = settings;
 		this.configuration = configuration;
-		this.storage = new StorageWatch(this::askTable, System::nanoTime, log);
+		this.storage = new StorageWatch(this::probeTable, System::nanoTime, log);
 		this.table = table;
 		this.drain = new CallerDrain(System::nanoTime, this.storage::isAble);
-		JobStates known = new JobStates(unreadable);
-		this.owner = new OwnerLink(settings.peerAddress(), network, known, System::nanoTime, log, this.storage::heard);
-		this.states = new TableFollower(this.table, JobTables.PROGRESS, List.of(JobTables.POOL_PARTITION),
-				this::statesSpacing, this.timer, known);
-		this.service = new SubmissionService(this.table, known, this.owner, this.owner, this.storage, this.timer,
-				System::nanoTime);
+		JobStates jobStates = new JobStates(unreadable);
+		this.ownerLink = new OwnerLink(settings.peerAddress(), network, jobStates, System::nanoTime, log,
+				this.storage::heard);
+		this.statesFollower = new TableFollower(this.table, JobTables.PROGRESS, List.of(JobTables.POOL_PARTITION),
+				this::stateReadInterval, this.timer, jobStates);
+		this.service = new SubmissionService(this.table, jobStates, this.ownerLink, this.ownerLink, this.storage,
+				this.timer, System::nanoTime);
 		JobRoutes routes = new JobRoutes(configuration::inForce, this.service, PoolClock.SYSTEM, log, metrics);
 		this.callers = new HttpServer(required(settings.callerAddress(), "callers"), MAXIMUM_BODY_BYTES,
 				(application) -> {
@@ -136,16 +137,16 @@
 		this.service.tableAnswered();
 	}
 
-	private Duration statesSpacing() {
-		if (this.owner.isSteady()) {
-			return STEADY_SPACING;
+	private Duration stateReadInterval() {
+		if (this.ownerLink.isOwnerSteady()) {
+			return STEADY_READ_INTERVAL;
 		}
-		return this.owner.isFresh() ? TOLD_SPACING : STATES_SPACING;
+		return this.ownerLink.isOwnerResponsive() ? NOTIFIED_READ_INTERVAL : UNNOTIFIED_READ_INTERVAL;
 	}
 
 	// There is no such row, so that the answer is small.
-	private void askTable() {
-		this.table.read(JobTables.HOSTS, "", NO_HOST, 1).whenComplete((page, failure) -> {
+	private void probeTable() {
+		this.table.read(JobTables.HOSTS, "", AFTER_LAST_HOST, 1).whenComplete((page, failure) -> {
 			if (failure != null) {
 				this.storage.questionFailed();
 			}
@@ -177,7 +178,7 @@
 	 * Begin to serve.
 	 */
 	public void start() {
-		this.states.start();
+		this.statesFollower.start();
 		this.timer.scheduleWithFixedDelay(this.storage::check, STORAGE_CHECK_MILLIS, STORAGE_CHECK_MILLIS,
 				TimeUnit.MILLISECONDS);
 		this.readiness.start();
@@ -189,8 +190,8 @@
 	 * @param message the message
 	 * @return whether a gateway takes such a message
 	 */
-	public boolean take(Envelope message) {
-		return this.owner.take(message);
+	public boolean handleNotification(Envelope message) {
+		return this.ownerLink.handleNotification(message);
 	}
 
 	/**
@@ -198,8 +199,8 @@
 	 * @param request the host's request
 	 * @return the reply
 	 */
-	public CompletableFuture<Envelope.Builder> commit(Envelope request) {
-		return OwnerLink.answer(request.getCommitRequest(), this.table);
+	public CompletableFuture<Envelope.Builder> handleCommitRequest(Envelope request) {
+		return OwnerLink.handleCommitRequest(request.getCommitRequest(), this.table);
 	}
 
 	/**
@@ -220,14 +221,13 @@
 	 * none does or the time for a planned stop is over.
 	 */
 	public void drain() {
-		long begun = System.nanoTime();
+		long startNanos = System.nanoTime();
 		this.drain.stop();
-		long endNanos = begun + TimeUnit.MILLISECONDS
+		long endNanos = startNanos + TimeUnit.MILLISECONDS
 			.toNanos((long) (this.settings.stopSeconds() * TimeUnit.SECONDS.toMillis(1)) - STOP_MARGIN_MILLIS);
 		CountDownLatch drained = new CountDownLatch(1);
 		this.timer.scheduleWithFixedDelay(() -> {
-			if (this.drain.isQuietFor(TimeUnit.MILLISECONDS.toNanos(QUIET_MILLIS))
-					|| System.nanoTime() - endNanos > 0) {
+			if (this.drain.isIdleFor(TimeUnit.MILLISECONDS.toNanos(IDLE_MILLIS)) || System.nanoTime() - endNanos > 0) {
 				drained.countDown();
 			}
 		}, 0, DRAIN_CHECK_MILLIS, TimeUnit.MILLISECONDS);
@@ -240,7 +240,7 @@
 	}
 
 	// Each job sets timers for its caller's whole time and mostly cancels them at once.
-	private static ScheduledExecutorService timer() {
+	private static ScheduledExecutorService createTimer() {
 		ScheduledThreadPoolExecutor timer = new ScheduledThreadPoolExecutor(1, (task) -> new Thread(task, "timer"));
 		timer.setRemoveOnCancelPolicy(true);
 		return timer;
--- a/monsoonrelay-gateway/src/main/java/org/monsoonrelay/gateway/jobs/OwnerLink.java
+++ b/monsoonrelay-gateway/src/main/java/org/monsoonrelay/gateway/jobs/OwnerLink.java
@@ -46,10 +46,10 @@
 	 * How long the last heartbeat of an owner counts, milliseconds; one is sent about
 	 * every 100 ms.
 	 */
-	private static final long FRESH_MILLIS = 500;
+	private static final long HEARTBEAT_EXPIRY_MILLIS = 500;
 
 	/** How long an owner has to be heard of to count as steady, milliseconds. */
-	private static final long STEADY_MILLIS = 4000;
+	private static final long STEADY_AFTER_MILLIS = 4000;
 
 	private static final String OWNER = "owner of the pool";
 
@@ -69,11 +69,11 @@
 
 	private final DecisionLog log;
 
-	private final Runnable progressed;
+	private final Runnable onOwnerWrite;
 
 	private volatile Optional<Owner> owner = Optional.empty();
 
-	private volatile boolean lost = true;
+	private volatile boolean isOwnerUnresponsive = true;
 
 	/**
 	 * Create a link.
@@ -82,16 +82,16 @@
 	 * @param states takes what the owner made durable
 	 * @param nanoTime the steady clock
 	 * @param log takes what becomes of writes through the owner
-	 * @param progressed called when an owner on another host is heard to have written
+	 * @param onOwnerWrite called when an owner on another host is heard to have written
 	 */
 	OwnerLink(HostAddress self, PeerNetwork network, JobStates states, LongSupplier nanoTime, DecisionLog log,
-			Runnable progressed) {
+			Runnable onOwnerWrite) {
 		this.self = self;
 		this.network = network;
 		this.states = states;
 		this.nanoTime = nanoTime;
 		this.log = log;
-		this.progressed = progressed;
+		this.onOwnerWrite = onOwnerWrite;
 	}
 
 	/**
@@ -99,13 +99,14 @@
 	 * feed's.
 	 * @return {@code true} if so
 	 */
-	boolean isFresh() {
-		boolean isFresh = this.owner.filter(this::wasHeardLately).isPresent();
-		if (!isFresh && !this.lost) {
-			this.lost = true;
-			this.log.write(new ProcessDecision.DependencyLost(OWNER, "no heartbeat for " + FRESH_MILLIS + " ms"));
+	boolean isOwnerResponsive() {
+		boolean isOwnerResponsive = this.owner.filter(this::hasRecentHeartbeat).isPresent();
+		if (!isOwnerResponsive && !this.isOwnerUnresponsive) {
+			this.isOwnerUnresponsive = true;
+			this.log.write(
+					new ProcessDecision.DependencyLost(OWNER, "no heartbeat for " + HEARTBEAT_EXPIRY_MILLIS + " ms"));
 		}
-		return isFresh;
+		return isOwnerResponsive;
 	}
 
 	/**
@@ -113,52 +114,55 @@
 	 * to connect to this host.
 	 * @return {@code true} if so
 	 */
-	boolean isSteady() {
-		return isFresh() && this.owner.filter((known) -> isOlder(known.sinceNanos(), STEADY_MILLIS)).isPresent();
+	boolean isOwnerSteady() {
+		return isOwnerResponsive()
+				&& this.owner.filter((known) -> isAtLeastAgo(known.firstHeartbeatNanos(), STEADY_AFTER_MILLIS))
+					.isPresent();
 	}
 
-	private boolean isOlder(long nanos, long millis) {
+	private boolean isAtLeastAgo(long nanos, long millis) {
 		return this.nanoTime.getAsLong() - nanos >= TimeUnit.MILLISECONDS.toNanos(millis);
 	}
 
-	private boolean wasHeardLately(Owner known) {
-		return this.nanoTime.getAsLong() - known.heardNanos() < TimeUnit.MILLISECONDS.toNanos(FRESH_MILLIS);
+	private boolean hasRecentHeartbeat(Owner known) {
+		return this.nanoTime.getAsLong() - known.heartbeatNanos() < TimeUnit.MILLISECONDS
+			.toNanos(HEARTBEAT_EXPIRY_MILLIS);
 	}
 
 	@Override
 	public void accepted(Submission submission, long version) {
-		tell(Envelope.newBuilder()
+		send(Envelope.newBuilder()
 			.setJobAccepted(JobAccepted.newBuilder().setSubmissionJson(Json.write(submission)).setVersion(version)));
 	}
 
 	@Override
 	public void cancelled(String job) {
-		tell(Envelope.newBuilder().setJobCancelled(JobCancelled.newBuilder().setJob(job)));
+		send(Envelope.newBuilder().setJobCancelled(JobCancelled.newBuilder().setJob(job)));
 	}
 
 	@Override
 	public Optional<CompletableFuture<PartitionCommit>> relay(PartitionWrite write) {
-		return this.owner.filter(this::wasHeardLately)
+		return this.owner.filter(this::hasRecentHeartbeat)
 			.filter((known) -> !known.address().equals(this.self))
 			.map((known) -> relay(write, known.address()));
 	}
 
-	private CompletableFuture<PartitionCommit> relay(PartitionWrite write, HostAddress through) {
-		long begunNanos = this.nanoTime.getAsLong();
+	private CompletableFuture<PartitionCommit> relay(PartitionWrite write, HostAddress relayHost) {
+		long startNanos = this.nanoTime.getAsLong();
 		Envelope.Builder request = Envelope.newBuilder()
 			.setCommitRequest(CommitRequest.newBuilder().setWriteJson(Json.write(write)));
-		return this.network.request(through, request, RELAY_TIMEOUT)
+		return this.network.request(relayHost, request, RELAY_TIMEOUT)
 			.handle((reply, failure) -> (failure != null) ? new PartitionCommit.Unknown(failure.getMessage())
-					: outcome(reply.getCommitReply()))
+					: toCommit(reply.getCommitReply()))
 			.whenComplete((commit, failure) -> {
 				String job = write.puts().isEmpty() ? "" : JobTables.job(write.puts().get(0).key());
-				long tookMillis = TimeUnit.NANOSECONDS.toMillis(this.nanoTime.getAsLong() - begunNanos);
-				this.log.write(new JobDecision.WriteRelayed(job, through.toString(), commit.getClass().getSimpleName(),
-						tookMillis));
+				long tookMillis = TimeUnit.NANOSECONDS.toMillis(this.nanoTime.getAsLong() - startNanos);
+				this.log.write(new JobDecision.WriteRelayed(job, relayHost.toString(),
+						commit.getClass().getSimpleName(), tookMillis));
 			});
 	}
 
-	private static PartitionCommit outcome(CommitReply reply) {
+	private static PartitionCommit toCommit(CommitReply reply) {
 		return switch (reply.getOutcome()) {
 			case COMMITTED -> new PartitionCommit.Committed(reply.getVersion());
 			case CONFLICT -> new PartitionCommit.Conflict(List.of());
@@ -173,12 +177,12 @@
 	 * @param table the table
 	 * @return the reply
 	 */
-	static CompletableFuture<Envelope.Builder> answer(CommitRequest request, PartitionedTable table) {
+	static CompletableFuture<Envelope.Builder> handleCommitRequest(CommitRequest request, PartitionedTable table) {
 		return table.commit(Json.read(request.getWriteJson(), PartitionWrite.class))
-			.thenApply((commit) -> Envelope.newBuilder().setCommitReply(reply(commit)));
+			.thenApply((commit) -> Envelope.newBuilder().setCommitReply(toReply(commit)));
 	}
 
-	private static CommitReply.Builder reply(PartitionCommit commit) {
+	private static CommitReply.Builder toReply(PartitionCommit commit) {
 		CommitReply.Builder reply = CommitReply.newBuilder();
 		if (commit instanceof PartitionCommit.Committed committed) {
 			return reply.setOutcome(CommitReply.Outcome.COMMITTED).setVersion(committed.version());
@@ -192,8 +196,8 @@
 		return reply.setOutcome(CommitReply.Outcome.UNKNOWN).setReason(((PartitionCommit.Unknown) commit).reason());
 	}
 
-	private void tell(Envelope.Builder message) {
-		this.owner.filter(this::wasHeardLately).ifPresent((known) -> this.network.tell(known.address(), message));
+	private void send(Envelope.Builder message) {
+		this.owner.filter(this::hasRecentHeartbeat).ifPresent((known) -> this.network.tell(known.address(), message));
 	}
 
 	/**
@@ -201,10 +205,10 @@
 	 * @param message the message
 	 * @return whether it was news of an owner
 	 */
-	boolean take(Envelope message) {
+	boolean handleNotification(Envelope message) {
 		switch (message.getBodyCase()) {
-			case OWNER_HEARTBEAT -> heard(message.getOwnerHeartbeat());
-			case STATES_NEWS -> take(message.getStatesNews());
+			case OWNER_HEARTBEAT -> heartbeatReceived(message.getOwnerHeartbeat());
+			case STATES_NEWS -> statesReceived(message.getStatesNews());
 			default -> {
 				return false;
 			}
@@ -212,36 +216,37 @@
 		return true;
 	}
 
-	private synchronized void heard(OwnerHeartbeat heartbeat) {
+	private synchronized void heartbeatReceived(OwnerHeartbeat heartbeat) {
 		if (this.owner.filter((known) -> known.epoch() > heartbeat.getEpoch()).isPresent()) {
 			return;
 		}
 		HostAddress address = HostAddress.parse(heartbeat.getAddress());
 		boolean hasWritten = this.owner.filter((known) -> known.version() >= heartbeat.getVersion()).isEmpty();
 		long now = this.nanoTime.getAsLong();
-		long since = this.owner.filter((known) -> known.epoch() == heartbeat.getEpoch() && wasHeardLately(known))
-			.map(Owner::sinceNanos)
+		long firstHeartbeat = this.owner
+			.filter((known) -> known.epoch() == heartbeat.getEpoch() && hasRecentHeartbeat(known))
+			.map(Owner::firstHeartbeatNanos)
 			.orElse(now);
-		this.owner = Optional.of(new Owner(heartbeat.getEpoch(), address, heartbeat.getVersion(), since, now));
+		this.owner = Optional.of(new Owner(heartbeat.getEpoch(), address, heartbeat.getVersion(), firstHeartbeat, now));
 		if (hasWritten && !address.equals(this.self)) {
-			this.progressed.run();
+			this.onOwnerWrite.run();
 		}
-		if (this.lost) {
-			this.lost = false;
+		if (this.isOwnerUnresponsive) {
+			this.isOwnerUnresponsive = false;
 			this.log.write(new ProcessDecision.DependencyBack(OWNER, -1));
 		}
 	}
 
-	private void take(StatesNews news) {
-		Map<String, SubmissionState> told = new HashMap<>();
-		news.getJobsList().forEach((job) -> told.put(job.getJob(), SubmissionState.valueOf(job.getState())));
+	private void statesReceived(StatesNews update) {
+		Map<String, SubmissionState> stateByJob = new HashMap<>();
+		update.getJobsList().forEach((job) -> stateByJob.put(job.getJob(), SubmissionState.valueOf(job.getState())));
 		Optional<QueueCount> pending = Optional
-			.of(new QueueCount(new QueueSummary(news.getPendingMap()), news.getCountedVersion()))
+			.of(new QueueCount(new QueueSummary(update.getPendingMap()), update.getCountedVersion()))
 			.filter((count) -> count.version() > 0);
-		this.states.told(told, pending);
+		this.states.told(stateByJob, pending);
 	}
 
-	private record Owner(long epoch, HostAddress address, long version, long sinceNanos, long heardNanos) {
+	private record Owner(long epoch, HostAddress address, long version, long firstHeartbeatNanos, long heartbeatNanos) {
 
 	}
 
--- a/monsoonrelay-gateway/src/test/java/org/monsoonrelay/gateway/CallerRoutesTests.java
+++ b/monsoonrelay-gateway/src/test/java/org/monsoonrelay/gateway/CallerRoutesTests.java
@@ -99,14 +99,14 @@
 		NodeSettings node = new NodeSettings("gateway", "a", "127.0.0.1:1", "127.0.0.1:2", List.of(), "secret");
 		GatewaySettings settings = new GatewaySettings(node, this.address.toString(), "127.0.0.1:3", 8, 60, 1, 10, 1000,
 				1000);
-		GatewayServices made = new GatewayServices(settings, tracker, (to, request, giveUpAt) -> {
+		GatewayServices gatewayServices = new GatewayServices(settings, tracker, (to, request, attemptDeadline) -> {
 			Attempt attempt = new Attempt(request, new CompletableFuture<>());
 			this.attempts.add(attempt);
 			return attempt.result();
 		}, new TableThatIsDown(), Clock.systemUTC());
-		made.update(new HostList(1, List.of(new Host("server", new HostAddress("10.0.0.1", 80), HostKind.BACKEND_SERVER,
-				"1", "a", "rack", "desk", HostState.LIVE, new Resources(0, 0, 0)))));
-		return made;
+		gatewayServices.updateHosts(new HostList(1, List.of(new Host("server", new HostAddress("10.0.0.1", 80),
+				HostKind.BACKEND_SERVER, "1", "a", "rack", "desk", HostState.LIVE, new Resources(0, 0, 0)))));
+		return gatewayServices;
 	}
 
 	private static HostAddress freeAddress() {
@@ -120,7 +120,7 @@
 
 	private ForwardedRequest answerNext(String body, HeaderLine... headers) throws InterruptedException {
 		Attempt attempt = this.attempts.take();
-		attempt.result().complete(whole(body, headers));
+		attempt.result().complete(answered(body, headers));
 		return attempt.request();
 	}
 
@@ -134,7 +134,7 @@
 		}
 	}
 
-	private static AttemptResult whole(String body, HeaderLine... headers) {
+	private static AttemptResult answered(String body, HeaderLine... headers) {
 		return new AttemptResult.Answered(200, List.of(headers), body.getBytes(StandardCharsets.UTF_8));
 	}
 
@@ -206,7 +206,7 @@
 				.contains("application/problem+json")
 				.containsIgnoringCase("not run");
 			assertThat(CallerRoutesTests.this.attempts).isEmpty();
-			assertThat(CallerRoutesTests.this.services.unfinished()).isZero();
+			assertThat(CallerRoutesTests.this.services.unfinishedCount()).isZero();
 		}
 
 		@Test
@@ -265,11 +265,11 @@
 			Attempt attempt = CallerRoutesTests.this.attempts.take();
 			CallerRoutesTests.this.caller.close();
 			awaitRouterOf(attempt);
-			assertThat(CallerRoutesTests.this.services.unfinished()).isOne();
+			assertThat(CallerRoutesTests.this.services.unfinishedCount()).isOne();
 
 			attempt.result().complete(new AttemptResult.Incomplete(true, "timeout"));
 
-			assertThat(CallerRoutesTests.this.services.unfinished()).isZero();
+			assertThat(CallerRoutesTests.this.services.unfinishedCount()).isZero();
 		}
 
 	}
@@ -307,9 +307,9 @@
 			Attempt first = CallerRoutesTests.this.attempts.take();
 			Attempt second = CallerRoutesTests.this.attempts.poll(100, TimeUnit.MILLISECONDS);
 			if (second != null) {
-				second.result().complete(whole("second"));
+				second.result().complete(answered("second"));
 			}
-			first.result().complete(whole("first"));
+			first.result().complete(answered("first"));
 			if (second == null) {
 				answerNext("second");
 			}
--- a/monsoonrelay-gateway/src/test/java/org/monsoonrelay/gateway/GatewayServicesTests.java
+++ b/monsoonrelay-gateway/src/test/java/org/monsoonrelay/gateway/GatewayServicesTests.java
@@ -27,7 +27,7 @@
 
 class GatewayServicesTests {
 
-	private static final AttemptResult WHOLE = new AttemptResult.Answered(200, List.of(), new byte[0]);
+	private static final AttemptResult ANSWERED = new AttemptResult.Answered(200, List.of(), new byte[0]);
 
 	private static final Operation LOOKUP = new Operation("lookup", TrafficClass.DESK, true, 1000);
 
@@ -35,12 +35,12 @@
 
 	private final List<HostAddress> sentTo = new ArrayList<>();
 
-	private AttemptResult answer = WHOLE;
+	private AttemptResult answer = ANSWERED;
 
 	private final GatewayServices services = services();
 
 	private GatewayServices services() {
-		BackendClient client = (server, request, giveUpAt) -> {
+		BackendClient client = (server, request, attemptDeadline) -> {
 			this.sentTo.add(server);
 			return CompletableFuture.completedFuture(this.answer);
 		};
@@ -74,7 +74,7 @@
 
 		@Test
 		void requestsGoToTheServersThatWereListedLast() {
-			GatewayServicesTests.this.services.update(list(5, host(1, "1-start-1")));
+			GatewayServicesTests.this.services.updateHosts(list(5, host(1, "1-start-1")));
 
 			assertThat(lookup(GatewayServicesTests.this.services)).isInstanceOf(RequestOutcome.Answered.class);
 			assertThat(lookup(GatewayServicesTests.this.services)).isInstanceOf(RequestOutcome.Answered.class);
@@ -82,10 +82,10 @@
 
 		@Test
 		void aListOfALowerVersionReadAfterwardsChangesNothing() {
-			GatewayServicesTests.this.services.update(list(5, host(1, "1-start-1")));
+			GatewayServicesTests.this.services.updateHosts(list(5, host(1, "1-start-1")));
 			lookup(GatewayServicesTests.this.services);
 
-			GatewayServicesTests.this.services.update(list(4));
+			GatewayServicesTests.this.services.updateHosts(list(4));
 
 			assertThat(lookup(GatewayServicesTests.this.services)).isInstanceOf(RequestOutcome.Answered.class);
 		}
@@ -98,18 +98,18 @@
 		@Test
 		void otherGatewaysSendItNothingAfterOneAnnouncement() {
 			GatewayServices peer = services();
-			GatewayServicesTests.this.services.update(list(5, host(1, "1-start-1"), host(2, "2-start-1")));
-			peer.update(list(5, host(1, "1-start-1"), host(2, "2-start-1")));
+			GatewayServicesTests.this.services.updateHosts(list(5, host(1, "1-start-1"), host(2, "2-start-1")));
+			peer.updateHosts(list(5, host(1, "1-start-1"), host(2, "2-start-1")));
 			lookup(peer);
 			GatewayServicesTests.this.answer = new AttemptResult.Refused(true);
 			lookup(GatewayServicesTests.this.services);
-			GatewayServicesTests.this.answer = WHOLE;
+			GatewayServicesTests.this.answer = ANSWERED;
 			GatewayServicesTests.this.sentTo.clear();
 
-			peer.markLeaving(GatewayServicesTests.this.services.leaving());
+			peer.markLeaving(GatewayServicesTests.this.services.leavingIncarnations());
 			lookup(peer);
 
-			assertThat(GatewayServicesTests.this.services.leaving()).containsOnly("1-start-1", "2-start-1");
+			assertThat(GatewayServicesTests.this.services.leavingIncarnations()).containsOnly("1-start-1", "2-start-1");
 			assertThat(GatewayServicesTests.this.sentTo).isEmpty();
 		}
 
--- a/monsoonrelay-gateway/src/test/java/org/monsoonrelay/gateway/jobs/OwnerLinkTests.java
+++ b/monsoonrelay-gateway/src/test/java/org/monsoonrelay/gateway/jobs/OwnerLinkTests.java
@@ -43,15 +43,15 @@
 
 	private static final String SECRET = "secret";
 
-	private static final PeerIdentity OWNER = new PeerIdentity("o", "scheduler", "z", free());
+	private static final PeerIdentity OWNER = new PeerIdentity("o", "scheduler", "z", freeAddress());
 
-	private static final PeerIdentity SELF = new PeerIdentity("g", "gateway", "z", free());
+	private static final PeerIdentity SELF = new PeerIdentity("g", "gateway", "z", freeAddress());
 
 	private final BlockingQueue<Envelope> received = new LinkedBlockingQueue<>();
 
 	private final PeerNetwork owner = new PeerNetwork(OWNER, SECRET, (from, message) -> {
 		if (message.hasCommitRequest()) {
-			return OwnerLink.answer(message.getCommitRequest(), this.table);
+			return OwnerLink.handleCommitRequest(message.getCommitRequest(), this.table);
 		}
 		this.received.add(message);
 		return CompletableFuture.completedFuture(Envelope.newBuilder().setEmpty(Empty.getDefaultInstance()));
@@ -85,17 +85,17 @@
 
 	private long nowNanos;
 
-	private int progress;
+	private int ownerWrites;
 
 	private final PeerNetwork network = new PeerNetwork(SELF, SECRET,
 			(from, message) -> CompletableFuture.completedFuture(Envelope.newBuilder()));
 
 	private final OwnerLink link = new OwnerLink(SELF.address(), this.network, this.states, () -> this.nowNanos,
-			DecisionLog.NONE, () -> this.progress++);
+			DecisionLog.NONE, () -> this.ownerWrites++);
 
 	// An address that other processes do not use: a port that is free at 127.0.0.1 may be
 	// taken by any outgoing connection before it is listened at.
-	private static HostAddress free() {
+	private static HostAddress freeAddress() {
 		long pid = ProcessHandle.current().pid();
 		String address = "127.%d.%d.1".formatted(1 + pid % 250, pid / 250 % 250);
 		try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getByName(address))) {
@@ -113,17 +113,17 @@
 				Timetable.AT_ONCE, 0);
 	}
 
-	private void hear(long epoch) {
-		hear(epoch, 0);
+	private void receiveHeartbeat(long epoch) {
+		receiveHeartbeat(epoch, 0);
 	}
 
-	private void hear(long epoch, long version) {
+	private void receiveHeartbeat(long epoch, long version) {
 		OwnerHeartbeat heartbeat = OwnerHeartbeat.newBuilder()
 			.setEpoch(epoch)
 			.setVersion(version)
 			.setAddress(OWNER.address().toString())
 			.build();
-		this.link.take(Envelope.newBuilder().setOwnerHeartbeat(heartbeat).build());
+		this.link.handleNotification(Envelope.newBuilder().setOwnerHeartbeat(heartbeat).build());
 	}
 
 	@BeforeEach
@@ -140,7 +140,7 @@
 
 	@Test
 	void jobsAndCancellationsGoToTheOwnerThatWasHeardOf() throws InterruptedException {
-		hear(3);
+		receiveHeartbeat(3);
 		this.link.accepted(job("a"), 17);
 		Envelope accepted = this.received.poll(10, TimeUnit.SECONDS);
 		assertThat(accepted.getJobAccepted().getVersion()).isEqualTo(17);
@@ -151,31 +151,31 @@
 
 	@Test
 	void anOwnerThatIsSilentIsNotFreshAndGetsNothing() throws InterruptedException {
-		assertThat(this.link.isFresh()).isFalse();
-		hear(3);
-		assertThat(this.link.isFresh()).isTrue();
+		assertThat(this.link.isOwnerResponsive()).isFalse();
+		receiveHeartbeat(3);
+		assertThat(this.link.isOwnerResponsive()).isTrue();
 		this.nowNanos += TimeUnit.SECONDS.toNanos(1);
-		assertThat(this.link.isFresh()).isFalse();
+		assertThat(this.link.isOwnerResponsive()).isFalse();
 		this.link.accepted(job("late"), 1);
-		hear(3);
+		receiveHeartbeat(3);
 		this.link.accepted(job("a"), 2);
 		assertThat(this.received.poll(10, TimeUnit.SECONDS).getJobAccepted().getVersion()).isEqualTo(2);
 	}
 
 	@Test
 	void onlyAnOwnerWhoseRowHasMovedOnCountsAsOneThatWrites() {
-		hear(3, 17);
-		hear(3, 17);
-		assertThat(this.progress).isEqualTo(1);
-		hear(3, 18);
-		assertThat(this.progress).isEqualTo(2);
+		receiveHeartbeat(3, 17);
+		receiveHeartbeat(3, 17);
+		assertThat(this.ownerWrites).isEqualTo(1);
+		receiveHeartbeat(3, 18);
+		assertThat(this.ownerWrites).isEqualTo(2);
 	}
 
 	@Test
 	void aWriteIsDoneByTheOwnerAsItIs() {
 		PartitionWrite write = PartitionWrite.to("jobs-1").onVersion("jobs", "a", 0).put("jobs", "a", "{}");
 		assertThat(this.link.relay(write)).isEmpty();
-		hear(3);
+		receiveHeartbeat(3);
 		assertThat(this.link.relay(write).orElseThrow().join()).isEqualTo(new PartitionCommit.Committed(9));
 		assertThat(this.written).containsExactly(write);
 		this.outcome = new PartitionCommit.NotDone("busy");
@@ -188,7 +188,7 @@
 
 	@Test
 	void aWriteToAnOwnerThatIsGoneIsUnknown() {
-		hear(3);
+		receiveHeartbeat(3);
 		this.owner.close();
 		PartitionWrite write = PartitionWrite.to("jobs-1").put("jobs", "a", "{}");
 		assertThat(this.link.relay(write).orElseThrow().join()).isInstanceOf(PartitionCommit.Unknown.class);
@@ -196,10 +196,10 @@
 
 	@Test
 	void signsOfLifeOfAFormerOwnerDoNotCount() {
-		hear(3);
+		receiveHeartbeat(3);
 		this.nowNanos += TimeUnit.SECONDS.toNanos(1);
-		hear(2);
-		assertThat(this.link.isFresh()).isFalse();
+		receiveHeartbeat(2);
+		assertThat(this.link.isOwnerResponsive()).isFalse();
 	}
 
 	@Test
@@ -210,7 +210,7 @@
 			.setCountedVersion(7)
 			.putPending("q", 2)
 			.build();
-		assertThat(this.link.take(Envelope.newBuilder().setStatesNews(news).build())).isTrue();
+		assertThat(this.link.handleNotification(Envelope.newBuilder().setStatesNews(news).build())).isTrue();
 		assertThat(this.states.state("a")).contains(SubmissionState.COMPLETED);
 		assertThat(this.states.pending("q")).isEqualTo(2);
 	}
--- a/monsoonrelay-host/src/main/java/org/monsoonrelay/host/Host.java
+++ b/monsoonrelay-host/src/main/java/org/monsoonrelay/host/Host.java
@@ -68,12 +68,12 @@
 		PartitionedTable table = new ObservedTable(
 				new MeteredPartitionedTable(new HttpTable(settings.tableAddress()), metrics, System::nanoTime),
 				this::tableAnswered);
-		DecisionLog counted = new DecisionMetrics(this.log, metrics);
-		UnreadableRows unreadable = new UnreadableRows(counted);
+		DecisionLog meteredLog = new DecisionMetrics(this.log, metrics);
+		UnreadableRows unreadable = new UnreadableRows(meteredLog);
 		metrics.gauge("rows.unreadable", () -> unreadable::count);
-		this.scheduler = new PoolScheduler(settings, self, table, this.network, counted, unreadable);
-		this.gateway = new JobGateway(settings, table, this.scheduler.configuration(), this.network, metrics, counted,
-				unreadable);
+		this.scheduler = new PoolScheduler(settings, self, table, this.network, meteredLog, unreadable);
+		this.gateway = new JobGateway(settings, table, this.scheduler.configuration(), this.network, metrics,
+				meteredLog, unreadable);
 		this.metricsServer = new HttpServer(new HostAddress(settings.ip(), METRICS_PORT), MAXIMUM_BODY_BYTES,
 				new HealthRoutes(metrics, this.gateway::notReady)::addTo);
 	}
@@ -84,16 +84,16 @@
 
 	private CompletableFuture<Envelope.Builder> handle(Envelope message) {
 		// An owner's heartbeat is news for both.
-		boolean isForGateway = this.gateway.take(message);
-		boolean isForScheduler = this.scheduler.take(message);
+		boolean isForGateway = this.gateway.handleNotification(message);
+		boolean isForScheduler = this.scheduler.handleNotification(message);
 		if (isForGateway || isForScheduler) {
 			return CompletableFuture.completedFuture(Envelope.newBuilder());
 		}
 		if (message.hasEligibilityRequest()) {
-			return this.scheduler.answer(message);
+			return this.scheduler.handleEligibilityRequest(message);
 		}
 		if (message.hasCommitRequest()) {
-			return this.gateway.commit(message);
+			return this.gateway.handleCommitRequest(message);
 		}
 		return CompletableFuture.failedFuture(new PeerException("a host does not take such a message", null));
 	}
@@ -104,8 +104,8 @@
 		this.network.listen();
 		this.scheduler.start();
 		this.gateway.start();
-		Executor later = CompletableFuture.delayedExecutor(METRICS_DELAY_SECONDS, TimeUnit.SECONDS);
-		CompletableFuture.runAsync(this.metricsServer::start, later).exceptionally((failure) -> {
+		Executor delayed = CompletableFuture.delayedExecutor(METRICS_DELAY_SECONDS, TimeUnit.SECONDS);
+		CompletableFuture.runAsync(this.metricsServer::start, delayed).exceptionally((failure) -> {
 			this.log.write(new ProcessDecision.DependencyLost("metrics", String.valueOf(failure.getMessage())));
 			return null;
 		});
@@ -128,7 +128,7 @@
 	// Gives the pool up while callers are still served.
 	@Override
 	public void stop() {
-		long begun = System.nanoTime();
+		long startNanos = System.nanoTime();
 		this.log.write(new ProcessDecision.ProcessStopping(ROLE, 0));
 		CompletableFuture<Void> released = this.scheduler.release();
 		this.gateway.drain();
@@ -137,8 +137,8 @@
 		this.network.close();
 		this.scheduler.close();
 		this.metricsServer.close();
-		this.log
-			.write(new ProcessDecision.ProcessStopped(ROLE, TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - begun)));
+		this.log.write(new ProcessDecision.ProcessStopped(ROLE,
+				TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNanos)));
 		this.log.close();
 	}
 
--- a/monsoonrelay-host/src/main/java/org/monsoonrelay/host/PeerTraining.java
+++ b/monsoonrelay-host/src/main/java/org/monsoonrelay/host/PeerTraining.java
@@ -26,7 +26,7 @@
 
 	private static final Duration TIMEOUT = Duration.ofSeconds(3);
 
-	private static final String NOBODY = "training";
+	private static final String PLACEHOLDER = "training";
 
 	private PeerTraining() {
 	}
@@ -38,36 +38,36 @@
 	 */
 	static void run(HostSettings settings, PeerNetwork host) {
 		HostAddress address = new HostAddress(settings.ip(), settings.peerAddress().port() + 1);
-		PeerIdentity self = new PeerIdentity(NOBODY, NOBODY, settings.failureDomain(), address);
+		PeerIdentity self = new PeerIdentity(PLACEHOLDER, PLACEHOLDER, settings.failureDomain(), address);
 		try (PeerNetwork peer = new PeerNetwork(self, HostSettings.PEER_SECRET,
 				(from, message) -> CompletableFuture.completedFuture(Envelope.newBuilder()))) {
 			peer.listen();
 			peer.tell(settings.peerAddress(), Envelope.newBuilder()
 				.setOwnerHeartbeat(OwnerHeartbeat.newBuilder().setAddress(address.toString())));
-			peer.tell(settings.peerAddress(), Envelope.newBuilder().setStatesNews(states()));
-			ask(peer, settings.peerAddress(), Envelope.newBuilder().setEligibilityRequest(question()));
-			ask(peer, settings.peerAddress(), Envelope.newBuilder().setCommitRequest(write()));
-			ask(host, address, Envelope.newBuilder().setEligibilityRequest(question()));
+			peer.tell(settings.peerAddress(), Envelope.newBuilder().setStatesNews(statesNews()));
+			request(peer, settings.peerAddress(), Envelope.newBuilder().setEligibilityRequest(eligibilityRequest()));
+			request(peer, settings.peerAddress(), Envelope.newBuilder().setCommitRequest(commitRequest()));
+			request(host, address, Envelope.newBuilder().setEligibilityRequest(eligibilityRequest()));
 		}
 	}
 
-	private static void ask(PeerNetwork network, HostAddress peer, Envelope.Builder request) {
+	private static void request(PeerNetwork network, HostAddress peer, Envelope.Builder request) {
 		network.request(peer, request, TIMEOUT).exceptionally((failure) -> Envelope.getDefaultInstance()).join();
 	}
 
-	private static StatesNews states() {
+	private static StatesNews statesNews() {
 		return StatesNews.newBuilder()
-			.addJobs(JobNews.newBuilder().setJob(NOBODY).setState(SubmissionState.QUEUED.name()))
-			.putPending(NOBODY, 0)
+			.addJobs(JobNews.newBuilder().setJob(PLACEHOLDER).setState(SubmissionState.QUEUED.name()))
+			.putPending(PLACEHOLDER, 0)
 			.build();
 	}
 
-	private static EligibilityRequest question() {
-		return EligibilityRequest.newBuilder().setStep(NOBODY).addWorkers(NOBODY).build();
+	private static EligibilityRequest eligibilityRequest() {
+		return EligibilityRequest.newBuilder().setStep(PLACEHOLDER).addWorkers(PLACEHOLDER).build();
 	}
 
-	private static CommitRequest write() {
-		return CommitRequest.newBuilder().setWriteJson(Json.write(PartitionWrite.to(NOBODY))).build();
+	private static CommitRequest commitRequest() {
+		return CommitRequest.newBuilder().setWriteJson(Json.write(PartitionWrite.to(PLACEHOLDER))).build();
 	}
 
 }
--- a/monsoonrelay-host/src/test/java/org/monsoonrelay/host/HostTests.java
+++ b/monsoonrelay-host/src/test/java/org/monsoonrelay/host/HostTests.java
@@ -19,9 +19,9 @@
 
 	private static final int FIRST_PORT = 17_640;
 
-	private static final int PORTS = 10;
+	private static final int PORTS_PER_RUN = 10;
 
-	private static final int PLACES = 200;
+	private static final int MAXIMUM_RUNS = 200;
 
 	private final HostSettings settings = HostSettings.forTraining(firstPort());
 
@@ -29,8 +29,8 @@
 
 	// Another run of this test beside this one listens elsewhere.
 	private static int firstPort() {
-		long place = ProcessHandle.current().pid() % PLACES;
-		return FIRST_PORT + PORTS * (int) place;
+		long run = ProcessHandle.current().pid() % MAXIMUM_RUNS;
+		return FIRST_PORT + PORTS_PER_RUN * (int) run;
 	}
 
 	private HttpResponse<String> get(String url) throws Exception {
@@ -45,8 +45,8 @@
 	@Test
 	void trainingRunBringsAJobFromItsCallerToAWorkerAndBack() {
 		PrintStream console = System.out;
-		ByteArrayOutputStream written = new ByteArrayOutputStream();
-		System.setOut(new PrintStream(written, true, StandardCharsets.UTF_8));
+		ByteArrayOutputStream output = new ByteArrayOutputStream();
+		System.setOut(new PrintStream(output, true, StandardCharsets.UTF_8));
 		int code;
 		try {
 			code = new CommandLine(new HostMain()).execute("--training-run", String.valueOf(firstPort()));
@@ -55,7 +55,7 @@
 			System.setOut(console);
 		}
 		assertThat(code).isZero();
-		assertThat(written.toString(StandardCharsets.UTF_8)).contains("\"event\":\"OwnershipTaken\"",
+		assertThat(output.toString(StandardCharsets.UTF_8)).contains("\"event\":\"OwnershipTaken\"",
 				"\"event\":\"TaskPlaced\"", "\"event\":\"JobEnded\"");
 	}
 
--- a/monsoonrelay-scheduler/src/main/java/org/monsoonrelay/scheduler/CellStatusCollector.java
+++ b/monsoonrelay-scheduler/src/main/java/org/monsoonrelay/scheduler/CellStatusCollector.java
@@ -35,7 +35,7 @@
 
 	private final String session;
 
-	private final Supplier<List<RackSummary>> ownRacks;
+	private final Supplier<List<RackSummary>> localRacks;
 
 	private final SchedulerSettings settings;
 
@@ -49,10 +49,10 @@
 
 	private final PeerNetwork network;
 
-	CellStatusCollector(String session, Supplier<List<RackSummary>> ownRacks, SchedulerSettings settings,
+	CellStatusCollector(String session, Supplier<List<RackSummary>> localRacks, SchedulerSettings settings,
 			QueueManager queues, ControlTracker tracker, Executor control, PeerDirectory peers, PeerNetwork network) {
 		this.session = session;
-		this.ownRacks = ownRacks;
+		this.localRacks = localRacks;
 		this.settings = settings;
 		this.queues = queues;
 		this.tracker = tracker;
@@ -62,48 +62,54 @@
 	}
 
 	CompletableFuture<CellStatus> collect() {
-		return CompletableFuture.supplyAsync(this::ask, this.control).thenCompose((reply) -> reply);
+		return CompletableFuture.supplyAsync(this::collectOnControlThread, this.control).thenCompose((reply) -> reply);
 	}
 
-	private CompletableFuture<CellStatus> ask() {
+	private CompletableFuture<CellStatus> collectOnControlThread() {
 		List<ProcessStatus> processes = new ArrayList<>();
 		processes.add(new ProcessStatus(this.session, this.settings.node().peerAddress(), SchedulerNode.ROLE,
 				this.settings.node().failureDomain(), this.tracker.inForce().head().version()));
 		Map<String, JobStatus> jobs = new TreeMap<>();
 		this.queues.jobStatuses().forEach((status) -> jobs.put(status.id().toString(), status));
 		List<String> missing = new ArrayList<>();
-		List<CompletableFuture<Void>> answers = new ArrayList<>();
+		List<CompletableFuture<Void>> pendingReplies = new ArrayList<>();
 		for (Announcement peer : this.peers.announcements()) {
 			processes.add(new ProcessStatus(peer.getSession(), peer.getAddress(), peer.getRole(),
 					peer.getFailureDomain(), peer.getVersion()));
 			if (peer.getRole().equals(SchedulerNode.ROLE)) {
-				answers.add(askPeer(peer, jobs, missing));
+				pendingReplies.add(requestStatus(peer, jobs, missing));
 			}
 		}
-		List<String> heard = processes.stream().map(ProcessStatus::address).toList();
-		this.settings.node().peers().stream().filter((address) -> !heard.contains(address)).forEach(missing::add);
-		return CompletableFuture.allOf(answers.toArray(CompletableFuture[]::new))
+		List<String> knownAddresses = processes.stream().map(ProcessStatus::address).toList();
+		this.settings.node()
+			.peers()
+			.stream()
+			.filter((address) -> !knownAddresses.contains(address))
+			.forEach(missing::add);
+		return CompletableFuture.allOf(pendingReplies.toArray(CompletableFuture[]::new))
 			.thenApplyAsync((done) -> new CellStatus(this.tracker.inForce().head().version(),
 					this.tracker.inForce().state().textVersion(), processes, missing, List.copyOf(jobs.values()),
-					room()), this.control);
+					workerCapacity()), this.control);
 	}
 
-	private static void merge(Map<String, JobStatus> jobs, JobStatus told) {
-		jobs.merge(told.id().toString(), told, (first, second) -> (second.finishedAt() != null) ? second : first);
+	private static void addStatus(Map<String, JobStatus> jobs, JobStatus reported) {
+		jobs.merge(reported.id().toString(), reported,
+				(first, second) -> (second.finishedAt() != null) ? second : first);
 	}
 
-	private WorkersRoom room() {
+	private WorkersRoom workerCapacity() {
 		Map<String, RackSummary> byRack = new TreeMap<>();
-		Stream<RackSummary> others = this.peers.announcements()
+		Stream<RackSummary> peerRacks = this.peers.announcements()
 			.stream()
 			.flatMap((peer) -> PeerCodec.decodeSummaries(peer.getRacksList()).stream());
-		Stream.concat(this.ownRacks.get().stream(), others)
+		Stream.concat(this.localRacks.get().stream(), peerRacks)
 			.forEach((rack) -> byRack.merge(rack.rack(), rack,
 					(first, second) -> (second.epoch() > first.epoch()) ? second : first));
 		return WorkersRoom.of(byRack.values());
 	}
 
-	private CompletableFuture<Void> askPeer(Announcement peer, Map<String, JobStatus> jobs, List<String> missing) {
+	private CompletableFuture<Void> requestStatus(Announcement peer, Map<String, JobStatus> jobs,
+			List<String> missing) {
 		Envelope.Builder request = Envelope.newBuilder().setStatusRequest(StatusRequest.getDefaultInstance());
 		return this.network.request(HostAddress.parse(peer.getAddress()), request, TIMEOUT)
 			.handleAsync((reply, failure) -> {
@@ -112,7 +118,7 @@
 				}
 				else {
 					for (JobStatus status : Json.read(reply.getStatusReply().getStatusJson(), JobStatus[].class)) {
-						merge(jobs, status);
+						addStatus(jobs, status);
 					}
 				}
 				return null;
--- a/monsoonrelay-scheduler/src/main/java/org/monsoonrelay/scheduler/EventDelivery.java
+++ b/monsoonrelay-scheduler/src/main/java/org/monsoonrelay/scheduler/EventDelivery.java
@@ -35,7 +35,7 @@
 
 	private final Executor control;
 
-	private final Set<String> inFlight = new HashSet<>();
+	private final Set<String> teamsInFlight = new HashSet<>();
 
 	EventDelivery(RackManager racks, QueueManager queues, PeerDirectory peers, PeerNetwork network, Executor control) {
 		this.racks = racks;
@@ -48,7 +48,7 @@
 	/**
 	 * Deliver what waits.
 	 */
-	void round() {
+	void deliverPending() {
 		this.racks.unacknowledgedEvents().forEach((team, events) -> {
 			if (this.queues.teams().contains(team)) {
 				new ArrayList<>(events)
@@ -56,16 +56,16 @@
 				return;
 			}
 			Optional<HostAddress> owner = this.peers.ownerOfTeam(team).flatMap(this.peers::address);
-			if (owner.isPresent() && this.inFlight.add(team)) {
-				deliver(owner.get(), team, events);
+			if (owner.isPresent() && this.teamsInFlight.add(team)) {
+				sendEvents(owner.get(), team, events);
 			}
 		});
 	}
 
-	private void deliver(HostAddress owner, String team, List<AttemptEvent> events) {
+	private void sendEvents(HostAddress owner, String team, List<AttemptEvent> events) {
 		Envelope.Builder request = Envelope.newBuilder().setAttemptEvents(PeerCodec.encodeEvents(team, events));
 		this.network.request(owner, request, PEER_TIMEOUT).whenCompleteAsync((reply, failure) -> {
-			this.inFlight.remove(team);
+			this.teamsInFlight.remove(team);
 			if (failure == null) {
 				PeerCodec.decode(reply.getAttemptEvents()).forEach(this.racks::acknowledge);
 			}
--- a/monsoonrelay-scheduler/src/main/java/org/monsoonrelay/scheduler/OperatorAccess.java
+++ b/monsoonrelay-scheduler/src/main/java/org/monsoonrelay/scheduler/OperatorAccess.java
@@ -27,12 +27,12 @@
 	 * @param authorization the header that the caller sent, empty if none
 	 * @return the operator's name, empty for strangers
 	 */
-	Optional<String> operator(String authorization) {
-		byte[] shown = authorization.getBytes(StandardCharsets.UTF_8);
+	Optional<String> authenticate(String authorization) {
+		byte[] presented = authorization.getBytes(StandardCharsets.UTF_8);
 		Optional<String> operator = Optional.empty();
 		for (OperatorCredential candidate : this.operators) {
 			byte[] expected = (BEARER + candidate.token()).getBytes(StandardCharsets.UTF_8);
-			if (MessageDigest.isEqual(shown, expected)) {
+			if (MessageDigest.isEqual(presented, expected)) {
 				operator = Optional.of(candidate.name());
 			}
 		}
--- a/monsoonrelay-scheduler/src/main/java/org/monsoonrelay/scheduler/OperatorRoutes.java
+++ b/monsoonrelay-scheduler/src/main/java/org/monsoonrelay/scheduler/OperatorRoutes.java
@@ -34,7 +34,7 @@
 
 	private static final System.Logger LOGGER = System.getLogger(OperatorRoutes.class.getName());
 
-	private static final int MAXIMUM_PAGE = 500;
+	private static final int MAXIMUM_PAGE_SIZE = 500;
 
 	private final OperatorAccess access;
 
@@ -53,20 +53,20 @@
 	}
 
 	void addTo(Jooby application) {
-		application.post("/operator/edits", (context) -> authorized(context, this::edit));
+		application.post("/operator/edits", (context) -> withOperator(context, this::submitEdit));
 		application.get("/operator/state",
-				(context) -> authorized(context, (operator, call) -> respond(call, state())));
+				(context) -> withOperator(context, (operator, call) -> respond(call, currentState())));
 		application.get("/operator/status",
-				(context) -> authorized(context, (operator, call) -> respond(call, this.status.get())));
-		application.get("/operator/audit",
-				(context) -> authorized(context, (operator, call) -> respond(call, this.log.audit(auditQuery(call)))));
+				(context) -> withOperator(context, (operator, call) -> respond(call, this.status.get())));
+		application.get("/operator/audit", (context) -> withOperator(context,
+				(operator, call) -> respond(call, this.log.audit(auditQuery(call)))));
 		application.error((context, cause, code) -> Problem
 			.of("invalid-request", "Invalid request", code.value(), String.valueOf(cause.getMessage()))
 			.send(context));
 	}
 
-	private Object authorized(Context context, Action action) throws Exception {
-		Optional<String> operator = this.access.operator(context.header("Authorization").value(""));
+	private Object withOperator(Context context, OperatorAction action) throws Exception {
+		Optional<String> operator = this.access.authenticate(context.header("Authorization").value(""));
 		if (operator.isEmpty()) {
 			LOGGER.log(System.Logger.Level.WARNING, "refused {0} without an operator''s credential at {1}",
 					context.getRemoteAddress(), context.getRequestPath());
@@ -80,23 +80,24 @@
 	}
 
 	private static AuditQuery auditQuery(Context call) {
-		int limit = Math.max(1, Math.min(MAXIMUM_PAGE, call.query("limit").intValue(MAXIMUM_PAGE)));
+		int limit = Math.max(1, Math.min(MAXIMUM_PAGE_SIZE, call.query("limit").intValue(MAXIMUM_PAGE_SIZE)));
 		return new AuditQuery(call.query("after").value(""), call.query("operator").toOptional(),
 				call.query("kind").toOptional().map(EditKind::valueOf), limit);
 	}
 
-	private Object edit(String operator, Context context) throws Exception {
+	private Object submitEdit(String operator, Context context) throws Exception {
 		EditRequest request = Json.read(context.body().value(), EditRequest.class);
-		OptionalLong expected = (request.expectedTextVersion() != null) ? OptionalLong.of(request.expectedTextVersion())
-				: OptionalLong.empty();
+		OptionalLong expectedTextVersion = (request.expectedTextVersion() != null)
+				? OptionalLong.of(request.expectedTextVersion()) : OptionalLong.empty();
 		LogFields.of(LogFields.OPERATOR, operator)
 			.run(() -> LOGGER.log(System.Logger.Level.INFO, "edit {0} asked for: {1}", request.editId(),
 					request.kind()));
-		Edit edit = new Edit(request.editId(), request.kind(), operator, request.text(), request.targets(), expected);
-		return respond(context, this.log.submit(edit).thenApply(OperatorRoutes::reply));
+		Edit edit = new Edit(request.editId(), request.kind(), operator, request.text(), request.targets(),
+				expectedTextVersion);
+		return respond(context, this.log.submit(edit).thenApply(OperatorRoutes::toReply));
 	}
 
-	private static EditReply reply(EditOutcome outcome) {
+	private static EditReply toReply(EditOutcome outcome) {
 		if (outcome instanceof EditOutcome.Accepted accepted) {
 			return new EditReply(EditReply.Outcome.ACCEPTED, accepted.version(), null, List.of(), "");
 		}
@@ -113,23 +114,26 @@
 				((EditOutcome.Unavailable) outcome).detail());
 	}
 
-	private CompletableFuture<StateMessage> state() {
-		return this.log.head().thenCompose(this::known).exceptionally((failure) -> inForce()).thenApply((version) -> {
-			ControlState state = version.state();
-			return new StateMessage(version.head().version(), state.textVersion(), state.text(),
-					state.stopped().stream().sorted().toList());
-		});
+	private CompletableFuture<StateMessage> currentState() {
+		return this.log.head()
+			.thenCompose(this::loadVersion)
+			.exceptionally((failure) -> inForceVersion())
+			.thenApply((version) -> {
+				ControlState state = version.state();
+				return new StateMessage(version.head().version(), state.textVersion(), state.text(),
+						state.stopped().stream().sorted().toList());
+			});
 	}
 
-	private CompletableFuture<ControlVersion> known(ControlHead head) {
+	private CompletableFuture<ControlVersion> loadVersion(ControlHead head) {
 		return (head.version() <= this.tracker.inForce().head().version())
-				? CompletableFuture.completedFuture(inForce())
+				? CompletableFuture.completedFuture(inForceVersion())
 				: this.log.state(head).thenApply((state) -> new ControlVersion(head, state));
 	}
 
-	private ControlVersion inForce() {
-		InForce present = this.tracker.inForce();
-		return new ControlVersion(present.head(), present.state());
+	private ControlVersion inForceVersion() {
+		InForce current = this.tracker.inForce();
+		return new ControlVersion(current.head(), current.state());
 	}
 
 	private static Object respond(Context context, CompletableFuture<?> value) throws Exception {
@@ -149,7 +153,7 @@
 	/**
 	 * What a route does once the operator is known.
 	 */
-	private interface Action {
+	private interface OperatorAction {
 
 		Object run(String operator, Context context) throws Exception;
 
--- a/monsoonrelay-scheduler/src/main/java/org/monsoonrelay/scheduler/PeerDirectory.java
+++ b/monsoonrelay-scheduler/src/main/java/org/monsoonrelay/scheduler/PeerDirectory.java
@@ -16,14 +16,14 @@
  */
 final class PeerDirectory {
 
-	private final long lapseNanos;
+	private final long expiryNanos;
 
-	private final Map<String, Heard> bySession = new TreeMap<>();
+	private final Map<String, ReceivedAnnouncement> bySession = new TreeMap<>();
 
-	private final Set<String> replaced = new HashSet<>();
+	private final Set<String> replacedSessions = new HashSet<>();
 
-	PeerDirectory(long lapseNanos) {
-		this.lapseNanos = lapseNanos;
+	PeerDirectory(long expiryNanos) {
+		this.expiryNanos = expiryNanos;
 	}
 
 	/**
@@ -33,21 +33,21 @@
 	 * @param nowNanos monotonic time
 	 * @return sessions that are over
 	 */
-	List<String> heard(Announcement announcement, long nowNanos) {
+	List<String> announcementReceived(Announcement announcement, long nowNanos) {
 		String session = announcement.getSession();
-		if (this.replaced.contains(session)) {
+		if (this.replacedSessions.contains(session)) {
 			return List.of();
 		}
-		List<String> over = this.bySession.entrySet()
+		List<String> endedSessions = this.bySession.entrySet()
 			.stream()
 			.filter((entry) -> !entry.getKey().equals(session))
 			.filter((entry) -> entry.getValue().announcement().getAddress().equals(announcement.getAddress()))
 			.map(Map.Entry::getKey)
 			.toList();
-		over.forEach(this.bySession::remove);
-		this.replaced.addAll(over);
-		this.bySession.put(session, new Heard(announcement, nowNanos));
-		return over;
+		endedSessions.forEach(this.bySession::remove);
+		this.replacedSessions.addAll(endedSessions);
+		this.bySession.put(session, new ReceivedAnnouncement(announcement, nowNanos));
+		return endedSessions;
 	}
 
 	/**
@@ -55,19 +55,19 @@
 	 * @param nowNanos monotonic time
 	 * @return their sessions
 	 */
-	List<String> dropSilent(long nowNanos) {
-		List<String> silent = this.bySession.entrySet()
+	List<String> removeUnresponsive(long nowNanos) {
+		List<String> unresponsive = this.bySession.entrySet()
 			.stream()
-			.filter((entry) -> nowNanos - entry.getValue().atNanos() > this.lapseNanos)
+			.filter((entry) -> nowNanos - entry.getValue().receivedNanos() > this.expiryNanos)
 			.map(Map.Entry::getKey)
 			.toList();
-		silent.forEach(this.bySession::remove);
-		return silent;
+		unresponsive.forEach(this.bySession::remove);
+		return unresponsive;
 	}
 
 	Optional<HostAddress> address(String session) {
 		return Optional.ofNullable(this.bySession.get(session))
-			.map((heard) -> HostAddress.parse(heard.announcement().getAddress()));
+			.map((received) -> HostAddress.parse(received.announcement().getAddress()));
 	}
 
 	Optional<String> ownerOfTeam(String team) {
@@ -78,17 +78,17 @@
 			.findFirst();
 	}
 
-	Set<String> satisfied() {
-		Set<String> names = new HashSet<>();
-		this.bySession.values().forEach((heard) -> names.addAll(heard.announcement().getSatisfiedList()));
-		return names;
+	Set<String> satisfiedDependencies() {
+		Set<String> satisfied = new HashSet<>();
+		this.bySession.values().forEach((received) -> satisfied.addAll(received.announcement().getSatisfiedList()));
+		return satisfied;
 	}
 
 	Collection<Announcement> announcements() {
-		return this.bySession.values().stream().map(Heard::announcement).toList();
+		return this.bySession.values().stream().map(ReceivedAnnouncement::announcement).toList();
 	}
 
-	private record Heard(Announcement announcement, long atNanos) {
+	private record ReceivedAnnouncement(Announcement announcement, long receivedNanos) {
 
 	}
 
--- a/monsoonrelay-scheduler/src/main/java/org/monsoonrelay/scheduler/PeerRackOwners.java
+++ b/monsoonrelay-scheduler/src/main/java/org/monsoonrelay/scheduler/PeerRackOwners.java
@@ -36,7 +36,7 @@
 
 	private final String session;
 
-	private final RackManager own;
+	private final RackManager localRacks;
 
 	private final RackDirectory directory;
 
@@ -46,10 +46,10 @@
 
 	private final InstantSource clock;
 
-	PeerRackOwners(String session, RackManager own, RackDirectory directory, PeerDirectory peers, PeerNetwork network,
-			InstantSource clock) {
+	PeerRackOwners(String session, RackManager localRacks, RackDirectory directory, PeerDirectory peers,
+			PeerNetwork network, InstantSource clock) {
 		this.session = session;
-		this.own = own;
+		this.localRacks = localRacks;
 		this.directory = directory;
 		this.peers = peers;
 		this.network = network;
@@ -58,37 +58,37 @@
 
 	@Override
 	public CompletableFuture<List<Reservation>> reserve(ReservationRequest request) {
-		if (isOwn(request.rack())) {
-			return CompletableFuture.completedFuture(this.own.reserve(request));
+		if (isOwnedHere(request.rack())) {
+			return CompletableFuture.completedFuture(this.localRacks.reserve(request));
 		}
-		Envelope.Builder body = Envelope.newBuilder()
+		Envelope.Builder envelope = Envelope.newBuilder()
 			.setReserveRequest(PeerCodec.encode(request, this.clock.instant()));
-		return ask(request.rack(), body).thenApply((reply) -> PeerCodec.decode(reply.getReserveReply()));
+		return request(request.rack(), envelope).thenApply((reply) -> PeerCodec.decode(reply.getReserveReply()));
 	}
 
 	@Override
 	public CompletableFuture<List<AttemptId>> start(String rack, List<StartTask> starts) {
-		if (isOwn(rack)) {
+		if (isOwnedHere(rack)) {
 			return CompletableFuture.completedFuture(
-					starts.stream().filter((start) -> !this.own.start(start)).map(StartTask::attempt).toList());
+					starts.stream().filter((start) -> !this.localRacks.start(start)).map(StartTask::attempt).toList());
 		}
 		StartRequest request = StartRequest.newBuilder()
 			.addAllStarts(starts.stream().map(PeerCodec::encode).toList())
 			.build();
-		return ask(rack, Envelope.newBuilder().setStartRequest(request))
+		return request(rack, Envelope.newBuilder().setStartRequest(request))
 			.thenApply((reply) -> reply.getStartReply().getRefusedList().stream().map(AttemptId::parse).toList());
 	}
 
 	@Override
 	public void release(String rack, Collection<AttemptId> attempts) {
-		if (isOwn(rack)) {
-			this.own.release(attempts);
+		if (isOwnedHere(rack)) {
+			this.localRacks.release(attempts);
 			return;
 		}
 		ReleaseRequest request = ReleaseRequest.newBuilder()
 			.addAllAttempts(attempts.stream().map(AttemptId::toString).toList())
 			.build();
-		tell(rack, Envelope.newBuilder().setReleaseRequest(request));
+		send(rack, Envelope.newBuilder().setReleaseRequest(request));
 	}
 
 	@Override
@@ -98,8 +98,8 @@
 			.setWorker(worker.value())
 			.setTeam(team)
 			.build();
-		Envelope.Builder body = Envelope.newBuilder().setStopRequest(request);
-		toOwnerOrAll(rack, body, (owner) -> owner.stop(attempt, worker, team));
+		Envelope.Builder envelope = Envelope.newBuilder().setStopRequest(request);
+		sendToOwnerOrAll(rack, envelope, (owner) -> owner.stop(attempt, worker, team));
 	}
 
 	@Override
@@ -110,38 +110,38 @@
 			.setIncarnation(incarnation)
 			.setTeam(team)
 			.build();
-		Envelope.Builder body = Envelope.newBuilder().setResolveRequest(request);
-		toOwnerOrAll(rack, body, (owner) -> owner.resolve(attempt, worker, incarnation, team));
+		Envelope.Builder envelope = Envelope.newBuilder().setResolveRequest(request);
+		sendToOwnerOrAll(rack, envelope, (owner) -> owner.resolve(attempt, worker, incarnation, team));
 	}
 
-	private void toOwnerOrAll(String rack, Envelope.Builder body, Consumer<RackManager> locally) {
+	private void sendToOwnerOrAll(String rack, Envelope.Builder envelope, Consumer<RackManager> localAction) {
 		if (rack.isEmpty()) {
-			locally.accept(this.own);
+			localAction.accept(this.localRacks);
 			this.peers.announcements()
-				.forEach((peer) -> this.network.tell(HostAddress.parse(peer.getAddress()), body.clone()));
+				.forEach((peer) -> this.network.tell(HostAddress.parse(peer.getAddress()), envelope.clone()));
 		}
-		else if (isOwn(rack)) {
-			locally.accept(this.own);
+		else if (isOwnedHere(rack)) {
+			localAction.accept(this.localRacks);
 		}
 		else {
-			tell(rack, body);
+			send(rack, envelope);
 		}
 	}
 
-	private boolean isOwn(String rack) {
+	private boolean isOwnedHere(String rack) {
 		return this.directory.ownerSession(rack).filter(this.session::equals).isPresent();
 	}
 
-	private CompletableFuture<Envelope> ask(String rack, Envelope.Builder body) {
+	private CompletableFuture<Envelope> request(String rack, Envelope.Builder envelope) {
 		Optional<HostAddress> owner = ownerAddress(rack);
 		if (owner.isEmpty()) {
 			return CompletableFuture.failedFuture(new PeerException("no owner is known for rack " + rack, null));
 		}
-		return this.network.request(owner.get(), body, TIMEOUT);
+		return this.network.request(owner.get(), envelope, TIMEOUT);
 	}
 
-	private void tell(String rack, Envelope.Builder body) {
-		ownerAddress(rack).ifPresent((owner) -> this.network.tell(owner, body));
+	private void send(String rack, Envelope.Builder envelope) {
+		ownerAddress(rack).ifPresent((owner) -> this.network.tell(owner, envelope));
 	}
 
 	private Optional<HostAddress> ownerAddress(String rack) {
--- a/monsoonrelay-scheduler/src/main/java/org/monsoonrelay/scheduler/QueueActivation.java
+++ b/monsoonrelay-scheduler/src/main/java/org/monsoonrelay/scheduler/QueueActivation.java
@@ -15,16 +15,17 @@
 final class QueueActivation {
 
 	/**
-	 * How long answers to the claim are waited for if all racks are known: two rounds.
+	 * How long answers to the claim are waitedNanos for if all racks are known: two
+	 * rounds.
 	 */
-	static final Duration CLAIM = Duration.ofSeconds(2);
+	static final Duration CLAIM_WAIT = Duration.ofSeconds(2);
 
 	/** After this long a queue begins whoever has not told. */
-	static final Duration LIMIT = Duration.ofSeconds(10);
+	static final Duration MAX_WAIT = Duration.ofSeconds(10);
 
-	private final Map<String, Long> sinceNanos = new TreeMap<>();
+	private final Map<String, Long> ownedSinceNanos = new TreeMap<>();
 
-	private final LongSupplier nanos;
+	private final LongSupplier nanoTime;
 
 	private final Predicate<String> isActive;
 
@@ -34,38 +35,39 @@
 
 	/**
 	 * Begin without queues.
-	 * @param nanos the steady clock
+	 * @param nanoTime the steady clock
 	 * @param isActive tells whether a team's queue places work
 	 * @param activate lets it do so
 	 * @param claim asks the racks' owners what runs of a team
 	 */
-	QueueActivation(LongSupplier nanos, Predicate<String> isActive, Consumer<String> activate, Consumer<String> claim) {
-		this.nanos = nanos;
+	QueueActivation(LongSupplier nanoTime, Predicate<String> isActive, Consumer<String> activate,
+			Consumer<String> claim) {
+		this.nanoTime = nanoTime;
 		this.isActive = isActive;
 		this.activate = activate;
 		this.claim = claim;
 	}
 
-	void owned(String team) {
-		this.sinceNanos.putIfAbsent(team, this.nanos.getAsLong());
+	void ownershipAcquired(String team) {
+		this.ownedSinceNanos.putIfAbsent(team, this.nanoTime.getAsLong());
 	}
 
-	void disowned(String team) {
-		this.sinceNanos.remove(team);
+	void ownershipReleased(String team) {
+		this.ownedSinceNanos.remove(team);
 	}
 
 	/**
 	 * Activate the queues that may begin and ask again for the others.
-	 * @param allKnown whether each rack has an owner that was heard of
+	 * @param allRacksKnown whether each rack has an owner that was heard of
 	 */
-	void round(boolean allKnown) {
-		long now = this.nanos.getAsLong();
-		this.sinceNanos.forEach((team, since) -> {
+	void runRound(boolean allRacksKnown) {
+		long now = this.nanoTime.getAsLong();
+		this.ownedSinceNanos.forEach((team, ownedSince) -> {
 			if (this.isActive.test(team)) {
 				return;
 			}
-			long waited = now - since;
-			if ((allKnown && waited > CLAIM.toNanos()) || waited > LIMIT.toNanos()) {
+			long waitedNanos = now - ownedSince;
+			if ((allRacksKnown && waitedNanos > CLAIM_WAIT.toNanos()) || waitedNanos > MAX_WAIT.toNanos()) {
 				this.activate.accept(team);
 			}
 			else {
--- a/monsoonrelay-scheduler/src/main/java/org/monsoonrelay/scheduler/SchedulerMetrics.java
+++ b/monsoonrelay-scheduler/src/main/java/org/monsoonrelay/scheduler/SchedulerMetrics.java
@@ -25,16 +25,17 @@
 	SchedulerMetrics(MetricRegistry metrics) {
 		gauge(metrics, "teams.owned", Sample::teams);
 		gauge(metrics, "jobs.owned", Sample::jobs);
-		gauge(metrics, "racks.owned", (sample) -> sample.room().racks());
-		gauge(metrics, "workers.owned", (sample) -> sample.room().workers());
-		gauge(metrics, "processors.capacity", (sample) -> sample.room().capacity().processors());
-		gauge(metrics, "processors.free", (sample) -> sample.room().free().processors());
+		gauge(metrics, "racks.owned", (sample) -> sample.workers().racks());
+		gauge(metrics, "workers.owned", (sample) -> sample.workers().workers());
+		gauge(metrics, "processors.capacity", (sample) -> sample.workers().capacity().processors());
+		gauge(metrics, "processors.free", (sample) -> sample.workers().free().processors());
 		gauge(metrics, "events.pending", Sample::events);
 		for (TaskState state : TaskState.values()) {
-			gauge(metrics, "tasks." + lower(state), (sample) -> sample.tasks().getOrDefault(state, 0));
+			gauge(metrics, "tasks." + lowerCaseName(state), (sample) -> sample.tasks().getOrDefault(state, 0));
 		}
 		for (WaitReason reason : WaitReason.values()) {
-			gauge(metrics, "tasks.waiting." + lower(reason), (sample) -> sample.waiting().getOrDefault(reason, 0));
+			gauge(metrics, "tasks.waiting." + lowerCaseName(reason),
+					(sample) -> sample.waiting().getOrDefault(reason, 0));
 		}
 	}
 
@@ -42,7 +43,7 @@
 		metrics.register(name, (Gauge<Long>) () -> value.applyAsLong(this.sample));
 	}
 
-	private static String lower(Enum<?> constant) {
+	private static String lowerCaseName(Enum<?> constant) {
 		return constant.name().toLowerCase(Locale.ROOT);
 	}
 
@@ -50,20 +51,20 @@
 	 * Take a sample.
 	 * @param teams number of teams whose queues are owned
 	 * @param jobs the jobs in them
-	 * @param room the room of the workers in the owned racks
+	 * @param workers the workers of the workers in the owned racks
 	 * @param events number of events not yet acknowledged
 	 */
-	void sample(int teams, List<JobStatus> jobs, WorkersRoom room, int events) {
+	void takeSample(int teams, List<JobStatus> jobs, WorkersRoom workers, int events) {
 		Map<TaskState, Integer> tasks = new EnumMap<>(TaskState.class);
 		Map<WaitReason, Integer> waiting = new EnumMap<>(WaitReason.class);
 		for (JobStatus job : jobs) {
 			job.counts().forEach((state, count) -> tasks.merge(state, count, Integer::sum));
 			waiting.merge(job.waitReason(), job.counts().getOrDefault(TaskState.WAITING, 0), Integer::sum);
 		}
-		this.sample = new Sample(teams, jobs.size(), room, tasks, waiting, events);
+		this.sample = new Sample(teams, jobs.size(), workers, tasks, waiting, events);
 	}
 
-	private record Sample(int teams, int jobs, WorkersRoom room, Map<TaskState, Integer> tasks,
+	private record Sample(int teams, int jobs, WorkersRoom workers, Map<TaskState, Integer> tasks,
 			Map<WaitReason, Integer> waiting, int events) {
 
 	}
--- a/monsoonrelay-scheduler/src/main/java/org/monsoonrelay/scheduler/SchedulerNode.java
+++ b/monsoonrelay-scheduler/src/main/java/org/monsoonrelay/scheduler/SchedulerNode.java
@@ -66,14 +66,14 @@
 
 	private static final int MAXIMUM_BODY_BYTES = 16 * 1024 * 1024;
 
-	private static final int TICK_MILLIS = 50;
+	private static final int TICK_INTERVAL_MILLIS = 50;
 
 	/** Rows a second that all schedulers together may write of their jobs. */
 	private static final int JOB_ROWS_PER_SECOND = 200;
 
 	private static final int SECOND_MILLIS = 1000;
 
-	private static final int SAMPLE_MILLIS = 10 * SECOND_MILLIS;
+	private static final int SAMPLE_INTERVAL_MILLIS = 10 * SECOND_MILLIS;
 
 	private final SchedulerSettings settings;
 
@@ -90,7 +90,7 @@
 
 	private final HttpPlatform platform;
 
-	private final HostListFollower hostList;
+	private final HostListFollower hostListFollower;
 
 	private final PeerNetwork network;
 
@@ -102,13 +102,13 @@
 
 	private final QueueManager queueManager;
 
-	private final AwaitedDependencies awaitedNames = new AwaitedDependencies();
+	private final AwaitedDependencies awaitedDependencies = new AwaitedDependencies();
 
 	private final OwnershipKeeper ownership;
 
-	private final WriteBudget rowBudget = new WriteBudget(System::nanoTime, JOB_ROWS_PER_SECOND);
+	private final WriteBudget jobRowBudget = new WriteBudget(System::nanoTime, JOB_ROWS_PER_SECOND);
 
-	private final SchedulerMessages messages;
+	private final SchedulerRequestHandler requestHandler;
 
 	private final SchedulerMetrics schedulerMetrics;
 
@@ -116,9 +116,9 @@
 
 	private final QueueActivation activation;
 
-	private final EventDelivery delivery;
+	private final EventDelivery eventDelivery;
 
-	private volatile HostList hosts = new HostList(0, List.of());
+	private volatile HostList hostList = new HostList(0, List.of());
 
 	SchedulerNode(SchedulerSettings settings) {
 		this.settings = settings;
@@ -126,7 +126,7 @@
 		InstantSource time = new SteadyClock(clock, System::nanoTime);
 		MetricRegistry metrics = new MetricRegistry();
 		this.platform = new HttpPlatform(settings.node().platformAddress(), PLATFORM_TIMEOUT);
-		this.hostList = new HostListFollower(this.platform, (list) -> this.control.execute(() -> update(list)));
+		this.hostListFollower = new HostListFollower(this.platform, (list) -> this.control.execute(() -> update(list)));
 		TableService table = new MeteredTable(this.platform, metrics);
 		ProcessMetrics.addTo(metrics, this.tracker);
 		this.schedulerMetrics = new SchedulerMetrics(metrics);
@@ -142,14 +142,16 @@
 		PeerRackOwners owners = new PeerRackOwners(this.session, this.rackManager, this.racks, this.peers, this.network,
 				time);
 		this.queueManager = new QueueManager(owners, this.racks, (onConflict) -> new JobRecordStore(table, this.control,
-				() -> UUID.randomUUID().toString(), onConflict, this.rowBudget), this.control, time);
+				() -> UUID.randomUUID().toString(), onConflict, this.jobRowBudget), this.control, time);
 		this.ownership = new OwnershipKeeper(
 				new SessionRecord(this.session, settings.node().failureDomain(), settings.node().peer()), table,
-				this.control, System::nanoTime, Duration.ofMillis(settings.sessionLapseMillis()), this::owner);
+				this.control, System::nanoTime, Duration.ofMillis(settings.sessionLapseMillis()),
+				this::ownershipChanged);
 		this.activation = new QueueActivation(System::nanoTime, this.queueManager::isActive,
-				this.queueManager::activate, this::claim);
-		this.delivery = new EventDelivery(this.rackManager, this.queueManager, this.peers, this.network, this.control);
-		this.messages = new SchedulerMessages(this.rackManager, this.queueManager, this.control, time);
+				this.queueManager::activate, this::claimQueue);
+		this.eventDelivery = new EventDelivery(this.rackManager, this.queueManager, this.peers, this.network,
+				this.control);
+		this.requestHandler = new SchedulerRequestHandler(this.rackManager, this.queueManager, this.control, time);
 		CellStatusCollector collector = new CellStatusCollector(this.session, this.rackManager::summaries, settings,
 				this.queueManager, this.tracker, this.control, this.peers, this.network);
 		OperatorRoutes routes = new OperatorRoutes(new OperatorAccess(settings.operators()), this.controlLog,
@@ -165,14 +167,14 @@
 		this.network.listen();
 		this.operators.start();
 		this.tracker.onChange((next) -> this.control.execute(() -> update(next)));
-		every(SECOND_MILLIS, this::second);
-		every(TICK_MILLIS, this::tick);
-		every(SAMPLE_MILLIS, this::sample);
+		scheduleEvery(SECOND_MILLIS, this::runPeriodicWork);
+		scheduleEvery(TICK_INTERVAL_MILLIS, this::tick);
+		scheduleEvery(SAMPLE_INTERVAL_MILLIS, this::sampleMetrics);
 		LOGGER.log(System.Logger.Level.INFO, "scheduler {0} listens for operators at {1}", this.settings.node().name(),
 				this.settings.operatorAddress());
 	}
 
-	private void every(int millis, Runnable task) {
+	private void scheduleEvery(int millis, Runnable task) {
 		this.control.scheduleWithFixedDelay(() -> {
 			try {
 				task.run();
@@ -185,65 +187,65 @@
 	}
 
 	private Optional<String> notReady() {
-		return (this.hosts.version() > 0) ? Optional.empty() : Optional.of("the host list has not been read yet");
+		return (this.hostList.version() > 0) ? Optional.empty() : Optional.of("the host list has not been read yet");
 	}
 
-	private void second() {
+	private void runPeriodicWork() {
 		this.follower.poll();
-		this.hostList.poll(this.network, this.settings.node().peerAddresses());
-		this.ownership.round(wanted());
-		this.rowBudget.setRowsPerSecond(Math.max(1, JOB_ROWS_PER_SECOND / this.ownership.liveCount()));
-		this.peers.dropSilent(System.nanoTime()).forEach(this.racks::removeSession);
+		this.hostListFollower.poll(this.network, this.settings.node().peerAddresses());
+		this.ownership.round(requiredOwners());
+		this.jobRowBudget.setRowsPerSecond(Math.max(1, JOB_ROWS_PER_SECOND / this.ownership.liveCount()));
+		this.peers.removeUnresponsive(System.nanoTime()).forEach(this.racks::removeSession);
 		this.racks.update(this.session, this.rackManager.summaries());
-		this.queueManager.setDependenciesSatisfiedElsewhere(this.peers.satisfied());
+		this.queueManager.setDependenciesSatisfiedElsewhere(this.peers.satisfiedDependencies());
 		this.rackManager.sendHeartbeats();
 		announce();
-		this.activation.round(areAllRacksKnown());
+		this.activation.runRound(areAllRacksKnown());
 	}
 
 	private void tick() {
 		this.queueManager.tick();
 		this.rackManager.sendUrgentCommands();
-		this.delivery.round();
+		this.eventDelivery.deliverPending();
 	}
 
-	private void sample() {
+	private void sampleMetrics() {
 		int events = this.rackManager.unacknowledgedEvents().values().stream().mapToInt(List::size).sum();
-		this.schedulerMetrics.sample(this.queueManager.teams().size(), this.queueManager.jobStatuses(),
+		this.schedulerMetrics.takeSample(this.queueManager.teams().size(), this.queueManager.jobStatuses(),
 				WorkersRoom.of(this.rackManager.summaries()), events);
 	}
 
 	private void update(InForce next) {
-		this.awaitedNames.update(next.text());
+		this.awaitedDependencies.update(next.text());
 		this.queueManager.update(next);
 	}
 
 	private void update(HostList list) {
-		if (list.version() >= this.hosts.version()) {
-			this.hosts = list;
+		if (list.version() >= this.hostList.version()) {
+			this.hostList = list;
 			this.rackManager.update(list);
 			this.queueManager.update(list);
 			this.racks.updateHosts(list.hosts());
 		}
 	}
 
-	private Map<String, String> wanted() {
-		Map<String, String> wanted = new HashMap<>();
-		this.hosts.hosts()
+	private Map<String, String> requiredOwners() {
+		Map<String, String> failureDomainByKey = new HashMap<>();
+		this.hostList.hosts()
 			.stream()
 			.filter((host) -> host.kind() == HostKind.WORKER)
-			.forEach((host) -> wanted.put(TableKeys.RACKS + host.rack(), host.failureDomain()));
+			.forEach((host) -> failureDomainByKey.put(TableKeys.RACKS + host.rack(), host.failureDomain()));
 		for (Team team : this.tracker.inForce().text().teams()) {
-			wanted.put(TableKeys.QUEUES + team.name(), "");
+			failureDomainByKey.put(TableKeys.QUEUES + team.name(), "");
 		}
-		return wanted;
+		return failureDomainByKey;
 	}
 
-	private void owner(String key, Ownership owned, boolean own) {
+	private void ownershipChanged(String key, Ownership ownership, boolean isOwned) {
 		if (key.startsWith(TableKeys.RACKS)) {
 			String rack = key.substring(TableKeys.RACKS.length());
-			if (own) {
-				this.rackManager.acquireOwnership(rack, owned.epoch());
+			if (isOwned) {
+				this.rackManager.acquireOwnership(rack, ownership.epoch());
 			}
 			else {
 				this.rackManager.releaseOwnership(rack);
@@ -251,13 +253,13 @@
 			return;
 		}
 		String team = key.substring(TableKeys.QUEUES.length());
-		if (!own) {
+		if (!isOwned) {
 			this.queueManager.releaseOwnership(team);
-			this.activation.disowned(team);
+			this.activation.ownershipReleased(team);
 		}
 		else {
-			this.queueManager.acquireOwnership(team, owned.epoch());
-			this.activation.owned(team);
+			this.queueManager.acquireOwnership(team, ownership.epoch());
+			this.activation.ownershipAcquired(team);
 		}
 	}
 
@@ -269,7 +271,7 @@
 			.setFailureDomain(this.settings.node().failureDomain())
 			.setVersion(this.tracker.inForce().head().version())
 			.addAllTeams(this.queueManager.teams())
-			.addAllSatisfied(this.awaitedNames.awaitedByOtherOwners(this.queueManager.teams(),
+			.addAllSatisfied(this.awaitedDependencies.awaitedByOtherOwners(this.queueManager.teams(),
 					this.queueManager.satisfiedDependencies()));
 		this.rackManager.summaries().forEach((summary) -> announcement.addRacks(PeerCodec.encode(summary)));
 		Envelope.Builder envelope = Envelope.newBuilder().setAnnouncement(announcement);
@@ -279,38 +281,38 @@
 	}
 
 	private boolean areAllRacksKnown() {
-		long listed = this.hosts.hosts()
+		long listedRacks = this.hostList.hosts()
 			.stream()
 			.filter((host) -> host.kind() == HostKind.WORKER)
 			.map((host) -> host.rack())
 			.distinct()
 			.count();
-		return this.racks.haveAllWorkersReported() && this.racks.rackCount() >= listed;
+		return this.racks.haveAllWorkersReported() && this.racks.rackCount() >= listedRacks;
 	}
 
-	private void claim(String team) {
+	private void claimQueue(String team) {
 		this.rackManager.republishRunning(team);
-		Envelope.Builder claim = Envelope.newBuilder().setQueueClaim(QueueClaim.newBuilder().setTeam(team));
-		this.settings.node().peerAddresses().forEach((peer) -> this.network.tell(peer, claim.clone()));
+		Envelope.Builder request = Envelope.newBuilder().setQueueClaim(QueueClaim.newBuilder().setTeam(team));
+		this.settings.node().peerAddresses().forEach((peer) -> this.network.tell(peer, request.clone()));
 	}
 
 	private CompletableFuture<Envelope.Builder> handle(PeerIdentity from, Envelope request) {
 		if (request.hasAnnouncement()) {
 			Announcement announcement = request.getAnnouncement();
 			this.follower.announced(this.network, from.address(), announcement.getVersion());
-			this.control.execute(() -> heard(announcement));
+			this.control.execute(() -> announcementReceived(announcement));
 		}
 		if (request.hasHostsRequest()) {
-			return CompletableFuture.completedFuture(this.hostList.reply(request.getHostsRequest()));
+			return CompletableFuture.completedFuture(this.hostListFollower.reply(request.getHostsRequest()));
 		}
 		if (request.hasStateRequest()) {
 			return CompletableFuture.completedFuture(this.follower.state());
 		}
-		return this.messages.handle(request);
+		return this.requestHandler.handle(request);
 	}
 
-	private void heard(Announcement announcement) {
-		this.peers.heard(announcement, System.nanoTime()).forEach(this.racks::removeSession);
+	private void announcementReceived(Announcement announcement) {
+		this.peers.announcementReceived(announcement, System.nanoTime()).forEach(this.racks::removeSession);
 		if (announcement.getRole().equals(ROLE)) {
 			this.racks.update(announcement.getSession(), PeerCodec.decodeSummaries(announcement.getRacksList()));
 		}
--- a/monsoonrelay-scheduler/src/main/java/org/monsoonrelay/scheduler/SchedulerMessages.java
+++ b/monsoonrelay-scheduler/src/main/java/org/monsoonrelay/scheduler/SchedulerRequestHandler.java
@@ -27,9 +27,9 @@
  * Answers the other schedulers' messages. Handlers run on the control thread; thread-safe
  * to call.
  */
-final class SchedulerMessages {
+final class SchedulerRequestHandler {
 
-	private static final int ACKNOWLEDGE_WITHIN_MILLIS = 400;
+	private static final int ACKNOWLEDGEMENT_TIMEOUT_MILLIS = 400;
 
 	private final RackManager racks;
 
@@ -39,7 +39,8 @@
 
 	private final InstantSource clock;
 
-	SchedulerMessages(RackManager racks, QueueManager queues, ScheduledExecutorService control, InstantSource clock) {
+	SchedulerRequestHandler(RackManager racks, QueueManager queues, ScheduledExecutorService control,
+			InstantSource clock) {
 		this.racks = racks;
 		this.queues = queues;
 		this.control = control;
@@ -52,38 +53,38 @@
 
 	private CompletableFuture<Envelope.Builder> dispatch(Envelope request) {
 		return switch (request.getBodyCase()) {
-			case RESERVE_REQUEST -> now(Envelope.newBuilder()
+			case RESERVE_REQUEST -> completed(Envelope.newBuilder()
 				.setReserveReply(PeerCodec.encodeReservations(
 						this.racks.reserve(PeerCodec.decode(request.getReserveRequest(), this.clock.instant())))));
-			case START_REQUEST -> now(Envelope.newBuilder().setStartReply(start(request)));
+			case START_REQUEST -> completed(Envelope.newBuilder().setStartReply(startTasks(request)));
 			case RELEASE_REQUEST -> {
 				this.racks
 					.release(request.getReleaseRequest().getAttemptsList().stream().map(AttemptId::parse).toList());
-				yield empty();
+				yield emptyReply();
 			}
 			case STOP_REQUEST -> {
 				StopRequest stop = request.getStopRequest();
 				this.racks.stop(AttemptId.parse(stop.getAttempt()), new WorkerId(stop.getWorker()), stop.getTeam());
-				yield empty();
+				yield emptyReply();
 			}
 			case RESOLVE_REQUEST -> {
 				ResolveRequest resolve = request.getResolveRequest();
 				this.racks.resolve(AttemptId.parse(resolve.getAttempt()), new WorkerId(resolve.getWorker()),
 						resolve.getIncarnation(), resolve.getTeam());
-				yield empty();
+				yield emptyReply();
 			}
 			case QUEUE_CLAIM -> {
 				this.racks.republishRunning(request.getQueueClaim().getTeam());
-				yield empty();
+				yield emptyReply();
 			}
-			case ATTEMPT_EVENTS -> events(request.getAttemptEvents());
-			case STATUS_REQUEST -> now(Envelope.newBuilder()
+			case ATTEMPT_EVENTS -> handleEvents(request.getAttemptEvents());
+			case STATUS_REQUEST -> completed(Envelope.newBuilder()
 				.setStatusReply(StatusReply.newBuilder().setStatusJson(Json.write(this.queues.jobStatuses()))));
-			default -> empty();
+			default -> emptyReply();
 		};
 	}
 
-	private StartReply start(Envelope request) {
+	private StartReply startTasks(Envelope request) {
 		List<StartTask> starts = request.getStartRequest().getStartsList().stream().map(PeerCodec::decode).toList();
 		return StartReply.newBuilder()
 			.addAllRefused(starts.stream()
@@ -93,7 +94,7 @@
 			.build();
 	}
 
-	private CompletableFuture<Envelope.Builder> events(AttemptEvents message) {
+	private CompletableFuture<Envelope.Builder> handleEvents(AttemptEvents message) {
 		List<AttemptEvent> events = PeerCodec.decode(message);
 		List<AttemptEvent> acknowledged = new ArrayList<>();
 		CompletableFuture<Void> all = new CompletableFuture<>();
@@ -105,19 +106,19 @@
 				}
 			});
 		}
-		return all.completeOnTimeout(null, ACKNOWLEDGE_WITHIN_MILLIS, TimeUnit.MILLISECONDS)
+		return all.completeOnTimeout(null, ACKNOWLEDGEMENT_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)
 			.thenApplyAsync(
 					(done) -> Envelope.newBuilder()
 						.setAttemptEvents(PeerCodec.encodeEvents(message.getTeam(), List.copyOf(acknowledged))),
 					this.control);
 	}
 
-	private static CompletableFuture<Envelope.Builder> now(Envelope.Builder reply) {
+	private static CompletableFuture<Envelope.Builder> completed(Envelope.Builder reply) {
 		return CompletableFuture.completedFuture(reply);
 	}
 
-	private static CompletableFuture<Envelope.Builder> empty() {
-		return now(Envelope.newBuilder().setEmpty(Empty.getDefaultInstance()));
+	private static CompletableFuture<Envelope.Builder> emptyReply() {
+		return completed(Envelope.newBuilder().setEmpty(Empty.getDefaultInstance()));
 	}
 
 }
--- a/monsoonrelay-scheduler/src/main/java/org/monsoonrelay/scheduler/SchedulerSettings.java
+++ b/monsoonrelay-scheduler/src/main/java/org/monsoonrelay/scheduler/SchedulerSettings.java
@@ -37,16 +37,17 @@
 			this.node.check(addresses);
 		}
 		List<TextFault> faults = new ArrayList<>(addresses.listens("/operatorAddress", this.operatorAddress).faults());
-		faults.addAll(repeated("name", OperatorCredential::name));
-		faults.addAll(repeated("token", OperatorCredential::token));
+		faults.addAll(duplicates("name", OperatorCredential::name));
+		faults.addAll(duplicates("token", OperatorCredential::token));
 		return faults;
 	}
 
-	private List<TextFault> repeated(String field, Function<OperatorCredential, String> value) {
+	private List<TextFault> duplicates(String field, Function<OperatorCredential, String> value) {
 		List<TextFault> faults = new ArrayList<>();
-		Map<String, Integer> seen = new HashMap<>();
+		Map<String, Integer> firstIndexByValue = new HashMap<>();
 		for (int index = 0; index < this.operators.size(); index++) {
-			Integer earlier = seen.putIfAbsent(String.valueOf(value.apply(this.operators.get(index))), index);
+			Integer earlier = firstIndexByValue.putIfAbsent(String.valueOf(value.apply(this.operators.get(index))),
+					index);
 			if (earlier != null) {
 				faults.add(new TextFault("/operators/" + index + "/" + field,
 						"the same as /operators/" + earlier + "/" + field));
--- a/monsoonrelay-scheduler/src/main/java/org/monsoonrelay/scheduler/pool/ControlThread.java
+++ b/monsoonrelay-scheduler/src/main/java/org/monsoonrelay/scheduler/pool/ControlThread.java
@@ -14,7 +14,7 @@
 
 	private static final System.Logger LOGGER = System.getLogger(ControlThread.class.getName());
 
-	private static final int BROKEN_INVARIANT = 70;
+	private static final int INVARIANT_VIOLATION_EXIT_CODE = 70;
 
 	ControlThread() {
 		super(1, (task) -> new Thread(task, "control"));
@@ -27,7 +27,7 @@
 		Throwable failure = (thrown != null) ? thrown : failureOf(task);
 		if (failure != null) {
 			LOGGER.log(System.Logger.Level.ERROR, "control state is broken, the process stops", failure);
-			Runtime.getRuntime().halt(BROKEN_INVARIANT);
+			Runtime.getRuntime().halt(INVARIANT_VIOLATION_EXIT_CODE);
 		}
 	}
 
--- a/monsoonrelay-scheduler/src/main/java/org/monsoonrelay/scheduler/pool/HostRegistry.java
+++ b/monsoonrelay-scheduler/src/main/java/org/monsoonrelay/scheduler/pool/HostRegistry.java
@@ -31,9 +31,9 @@
  */
 final class HostRegistry implements TableFollower.Listener {
 
-	private static final Duration SPACING = Duration.ofMillis(300);
+	private static final Duration POLL_INTERVAL = Duration.ofMillis(300);
 
-	private static final long RETRY_MILLIS = 300;
+	private static final long REGISTER_RETRY_MILLIS = 300;
 
 	private final PartitionedTable table;
 
@@ -49,9 +49,9 @@
 
 	private final Map<String, HostRecord> hosts = new ConcurrentHashMap<>();
 
-	private final Map<String, Start> starts = new HashMap<>();
+	private final Map<String, ProcessStart> startsByHost = new HashMap<>();
 
-	private boolean loaded;
+	private boolean hasInitialSnapshot;
 
 	HostRegistry(PartitionedTable table, ScheduledExecutorService control, HostRecord self, Listener listener,
 			UnreadableRows unreadable) {
@@ -74,7 +74,8 @@
 	 * Follow the others.
 	 */
 	void follow() {
-		TableFollower next = new TableFollower(this.table, JobTables.HOSTS, List.of(""), SPACING, this.control, this);
+		TableFollower next = new TableFollower(this.table, JobTables.HOSTS, List.of(""), POLL_INTERVAL, this.control,
+				this);
 		this.follower = Optional.of(next);
 		next.start();
 	}
@@ -90,7 +91,7 @@
 		PartitionWrite write = PartitionWrite.to("").put(JobTables.HOSTS, this.self.host(), Json.write(this.self));
 		this.table.commit(write).whenComplete(OnThread.of(this.control, (commit, failure) -> {
 			if (!(commit instanceof PartitionCommit.Committed)) {
-				this.control.schedule(this::register, RETRY_MILLIS, TimeUnit.MILLISECONDS);
+				this.control.schedule(this::register, REGISTER_RETRY_MILLIS, TimeUnit.MILLISECONDS);
 			}
 		}));
 	}
@@ -99,7 +100,7 @@
 	 * The hosts that are registered, this one first.
 	 * @return their names
 	 */
-	List<String> names() {
+	List<String> hostNames() {
 		List<String> names = new ArrayList<>();
 		names.add(this.self.host());
 		this.hosts.keySet().stream().filter((name) -> !name.equals(this.self.host())).sorted().forEach(names::add);
@@ -112,10 +113,10 @@
 	 * @param nowNanos the current time
 	 * @return the candidates
 	 */
-	List<StandbySelector.Candidate> candidates(long nowNanos) {
+	List<StandbySelector.Candidate> standbyCandidates(long nowNanos) {
 		List<StandbySelector.Candidate> candidates = new ArrayList<>();
 		this.hosts.forEach((name, host) -> {
-			Start start = this.starts.get(name);
+			ProcessStart start = this.startsByHost.get(name);
 			if (start != null) {
 				boolean isReady = nowNanos - start.readyNanos() >= 0;
 				candidates.add(new StandbySelector.Candidate(host, start.version(), isReady));
@@ -127,7 +128,7 @@
 	/**
 	 * Tell the others that this process is about to stop.
 	 */
-	void stopping() {
+	void announceStop() {
 		this.self = this.self.asStopping();
 		register();
 	}
@@ -148,16 +149,16 @@
 	public void snapshot(String partition, List<TableRow> rows) {
 		this.hosts.keySet().retainAll(List.of(this.self.host()));
 		changed(rows);
-		this.loaded = true;
+		this.hasInitialSnapshot = true;
 	}
 
 	@Override
 	public void changed(List<TableRow> rows) {
-		rows.forEach(this::take);
-		this.listener.known(names());
+		rows.forEach(this::applyRow);
+		this.listener.hostsChanged(hostNames());
 	}
 
-	private void take(TableRow row) {
+	private void applyRow(TableRow row) {
 		if (row.key().equals(this.self.host())) {
 			return;
 		}
@@ -166,24 +167,24 @@
 			return;
 		}
 		this.unreadable.read(row, HostRecord.class)
-			.ifPresentOrElse((record) -> take(row, record), () -> this.hosts.remove(row.key()));
+			.ifPresentOrElse((record) -> putHost(row, record), () -> this.hosts.remove(row.key()));
 	}
 
-	private void take(TableRow row, HostRecord record) {
-		HostRecord known = this.hosts.put(row.key(), record);
-		boolean isSameLife = known != null && known.incarnation().equals(record.incarnation());
-		if (!isSameLife || !this.starts.containsKey(row.key())) {
+	private void putHost(TableRow row, HostRecord record) {
+		HostRecord previous = this.hosts.put(row.key(), record);
+		boolean isSameIncarnation = previous != null && previous.incarnation().equals(record.incarnation());
+		if (!isSameIncarnation || !this.startsByHost.containsKey(row.key())) {
 			long readyNanos = System.nanoTime()
-					+ (this.loaded ? TimeUnit.MILLISECONDS.toNanos(StandbySelector.MIN_UPTIME_MILLIS) : 0);
-			this.starts.put(row.key(), new Start(row.version(), readyNanos));
+					+ (this.hasInitialSnapshot ? TimeUnit.MILLISECONDS.toNanos(StandbySelector.MIN_UPTIME_MILLIS) : 0);
+			this.startsByHost.put(row.key(), new ProcessStart(row.version(), readyNanos));
 		}
-		if (known != null && !isSameLife) {
-			this.listener.restarted(row.key());
+		if (previous != null && !isSameIncarnation) {
+			this.listener.hostRestarted(row.key());
 		}
 	}
 
 	// When a process registered, and when it is taken to be ready.
-	private record Start(long version, long readyNanos) {
+	private record ProcessStart(long version, long readyNanos) {
 
 	}
 
@@ -194,13 +195,13 @@
 		 * These hosts are registered.
 		 * @param hosts their names, this one first
 		 */
-		void known(List<String> hosts);
+		void hostsChanged(List<String> hosts);
 
 		/**
 		 * A host's scheduler has started anew.
 		 * @param host its name
 		 */
-		void restarted(String host);
+		void hostRestarted(String host);
 
 	}
 
--- a/monsoonrelay-scheduler/src/main/java/org/monsoonrelay/scheduler/pool/OwnerMessages.java
+++ b/monsoonrelay-scheduler/src/main/java/org/monsoonrelay/scheduler/pool/NetworkPeerNotifier.java
@@ -23,7 +23,7 @@
  * Tells all hosts, its own with them, what the owner has to say, as one-way messages.
  * Thread-safe.
  */
-final class OwnerMessages implements PeerNotifier {
+final class NetworkPeerNotifier implements PeerNotifier {
 
 	private final PeerNetwork network;
 
@@ -31,7 +31,7 @@
 
 	private final Supplier<List<HostAddress>> hosts;
 
-	OwnerMessages(PeerNetwork network, HostAddress self, Supplier<List<HostAddress>> hosts) {
+	NetworkPeerNotifier(PeerNetwork network, HostAddress self, Supplier<List<HostAddress>> hosts) {
 		this.network = network;
 		this.self = self;
 		this.hosts = hosts;
@@ -44,29 +44,30 @@
 			.setAddress(this.self.toString())
 			.setVersion(version)
 			.build();
-		tell(Envelope.newBuilder().setOwnerHeartbeat(heartbeat));
+		send(Envelope.newBuilder().setOwnerHeartbeat(heartbeat));
 	}
 
 	@Override
 	public void publishStates(long epoch, Map<String, SubmissionState> states, Optional<QueueCount> pending) {
-		StatesNews.Builder news = StatesNews.newBuilder().setEpoch(epoch);
-		states.forEach((job, state) -> news.addJobs(JobNews.newBuilder().setJob(job).setState(state.name())));
-		pending.ifPresent((count) -> news.setCountedVersion(count.version()).putAllPending(count.summary().pending()));
-		tell(Envelope.newBuilder().setStatesNews(news));
+		StatesNews.Builder stateUpdate = StatesNews.newBuilder().setEpoch(epoch);
+		states.forEach((job, state) -> stateUpdate.addJobs(JobNews.newBuilder().setJob(job).setState(state.name())));
+		pending.ifPresent(
+				(count) -> stateUpdate.setCountedVersion(count.version()).putAllPending(count.summary().pending()));
+		send(Envelope.newBuilder().setStatesNews(stateUpdate));
 	}
 
 	@Override
 	public void announceRelease(OwnerRecord record, long version) {
-		tell(Envelope.newBuilder()
+		send(Envelope.newBuilder()
 			.setOwnerReleased(OwnerReleased.newBuilder().setRecordJson(Json.write(record)).setVersion(version)));
 	}
 
 	@Override
 	public void requestTakeOver(long version) {
-		tell(Envelope.newBuilder().setTakeOverRequest(TakeOverRequest.newBuilder().setVersion(version)));
+		send(Envelope.newBuilder().setTakeOverRequest(TakeOverRequest.newBuilder().setVersion(version)));
 	}
 
-	private void tell(Envelope.Builder message) {
+	private void send(Envelope.Builder message) {
 		this.network.tell(this.hosts.get(), message);
 	}
 
--- a/monsoonrelay-scheduler/src/main/java/org/monsoonrelay/scheduler/pool/PeerEligibility.java
+++ b/monsoonrelay-scheduler/src/main/java/org/monsoonrelay/scheduler/pool/PeerEligibilityClient.java
@@ -22,7 +22,7 @@
  * Asks for eligible workers from this host or, through its scheduler, from another one.
  * Thread-safe.
  */
-final class PeerEligibility implements EligibilityClient {
+final class PeerEligibilityClient implements EligibilityClient {
 
 	private final String self;
 
@@ -30,41 +30,42 @@
 
 	private final PeerNetwork network;
 
-	private final Function<String, Optional<HostAddress>> addresses;
+	private final Function<String, Optional<HostAddress>> addressOfHost;
 
-	PeerEligibility(String self, HttpEligibility service, PeerNetwork network,
-			Function<String, Optional<HostAddress>> addresses) {
+	PeerEligibilityClient(String self, HttpEligibility service, PeerNetwork network,
+			Function<String, Optional<HostAddress>> addressOfHost) {
 		this.self = self;
 		this.service = service;
 		this.network = network;
-		this.addresses = addresses;
+		this.addressOfHost = addressOfHost;
 	}
 
 	@Override
 	public CompletableFuture<Map<String, String>> requestTickets(String host, StepKey step, List<String> workers,
 			Duration timeout) {
 		if (host.equals(this.self)) {
-			return this.service.ask(step.toString(), workers, timeout).thenApply(PeerEligibility::withKnownIds);
+			return this.service.ask(step.toString(), workers, timeout)
+				.thenApply(PeerEligibilityClient::withInternedIds);
 		}
-		Optional<HostAddress> address = this.addresses.apply(host);
+		Optional<HostAddress> address = this.addressOfHost.apply(host);
 		if (address.isEmpty()) {
 			return CompletableFuture.failedFuture(new PeerException("no address of " + host, null));
 		}
 		Envelope.Builder request = Envelope.newBuilder()
 			.setEligibilityRequest(EligibilityRequest.newBuilder().setStep(step.toString()).addAllWorkers(workers));
 		return this.network.request(address.get(), request, timeout)
-			.thenApply((reply) -> withKnownIds(reply.getEligibilityReply().getTicketsMap()));
+			.thenApply((reply) -> withInternedIds(reply.getEligibilityReply().getTicketsMap()));
 	}
 
 	/**
-	 * The same tickets under the strings by which workers are known.
+	 * The same tickets under the strings by which workers are interned.
 	 * @param tickets tickets by worker
 	 * @return the tickets, looked up faster by the ids of workers
 	 */
-	static Map<String, String> withKnownIds(Map<String, String> tickets) {
-		Map<String, String> known = new HashMap<>();
-		tickets.forEach((worker, ticket) -> known.put(worker.intern(), ticket));
-		return known;
+	static Map<String, String> withInternedIds(Map<String, String> tickets) {
+		Map<String, String> interned = new HashMap<>();
+		tickets.forEach((worker, ticket) -> interned.put(worker.intern(), ticket));
+		return interned;
 	}
 
 	/**
@@ -73,7 +74,7 @@
 	 * @param remaining how long the peer waits
 	 * @return the reply
 	 */
-	CompletableFuture<Envelope.Builder> answer(EligibilityRequest request, Duration remaining) {
+	CompletableFuture<Envelope.Builder> handleRequest(EligibilityRequest request, Duration remaining) {
 		return this.service.ask(request.getStep(), request.getWorkersList(), remaining)
 			.thenApply((tickets) -> Envelope.newBuilder()
 				.setEligibilityReply(EligibilityReply.newBuilder().putAllTickets(tickets)));
--- a/monsoonrelay-scheduler/src/main/java/org/monsoonrelay/scheduler/pool/PoolScheduler.java
+++ b/monsoonrelay-scheduler/src/main/java/org/monsoonrelay/scheduler/pool/PoolScheduler.java
@@ -55,16 +55,16 @@
 	 * start, milliseconds: after a loss of power the gateway beside it needs the
 	 * processor first.
 	 */
-	private static final long READY_DELAY_MILLIS = 1500;
+	private static final long STANDBY_DELAY_MILLIS = 1500;
 
 	/**
 	 * Time between two looks whether the owner wants this host to stand ready, and, at
 	 * the owner, which hosts do, milliseconds.
 	 */
-	private static final long READY_CHECK_MILLIS = 500;
+	private static final long STANDBY_CHECK_MILLIS = 500;
 
 	/** How long a stopping owner may take to give the pool up, milliseconds. */
-	private static final long RELEASE_MILLIS = 4000;
+	private static final long RELEASE_TIMEOUT_MILLIS = 4000;
 
 	private final HostSettings settings;
 
@@ -76,7 +76,7 @@
 
 	private final ConfigurationFeed configuration;
 
-	private final PeerEligibility eligibility;
+	private final PeerEligibilityClient eligibility;
 
 	private final HostRegistry registry;
 
@@ -86,7 +86,7 @@
 
 	private final OwnerElection election;
 
-	private final PoolDependencies ports;
+	private final PoolDependencies dependencies;
 
 	private final CompletableFuture<Void> released = new CompletableFuture<>();
 
@@ -105,19 +105,21 @@
 			DecisionLog log, UnreadableRows unreadable) {
 		this.settings = settings;
 		this.unreadable = unreadable;
-		this.configuration = new ConfigurationFeed(table, this.control, log, this::configure, this.unreadable);
+		this.configuration = new ConfigurationFeed(table, this.control, log, this::configurationChanged,
+				this.unreadable);
 		this.self = new HostRecord(settings.host(), settings.failureDomain(), self.address().toString(), self.session(),
 				settings.processors(), settings.linkMbps(), false);
 		this.registry = new HostRegistry(table, this.control, this.self, new HostListener(), unreadable);
 		HttpEligibility service = new HttpEligibility(settings.eligibilityAddress()
 			.orElseThrow(() -> new SettingsException("the setting eligibility is missing")));
-		this.eligibility = new PeerEligibility(settings.host(), service, network, this.registry::address);
-		this.ports = new PoolDependencies(table, new HttpWorkerOrders(), this.eligibility, this.control,
+		this.eligibility = new PeerEligibilityClient(settings.host(), service, network, this.registry::address);
+		this.dependencies = new PoolDependencies(table, new HttpWorkerOrders(), this.eligibility, this.control,
 				PoolClock.SYSTEM, log, unreadable);
-		this.peers = new ThrottledPeerNotifier(new OwnerMessages(network, self.address(), this.registry::addresses),
-				this.control, PoolClock.SYSTEM);
+		this.peers = new ThrottledPeerNotifier(
+				new NetworkPeerNotifier(network, self.address(), this.registry::addresses), this.control,
+				PoolClock.SYSTEM);
 		this.jobs = new JobTableReplica(table, this.control, unreadable);
-		this.election = new OwnerElection(this.ports, this.self, this::won);
+		this.election = new OwnerElection(this.dependencies, this.self, this::becomeOwner);
 	}
 
 	/**
@@ -127,19 +129,19 @@
 		this.election.start();
 		this.configuration.start();
 		this.registry.start();
-		this.control.scheduleWithFixedDelay(this::standReady, READY_DELAY_MILLIS, READY_CHECK_MILLIS,
+		this.control.scheduleWithFixedDelay(this::checkStandby, STANDBY_DELAY_MILLIS, STANDBY_CHECK_MILLIS,
 				TimeUnit.MILLISECONDS);
 	}
 
-	private void standReady() {
+	private void checkStandby() {
 		if (this.election.isStandby()) {
 			this.jobs.start();
 		}
-		this.term.ifPresent((present) -> chooseStandbys(present.owner()));
+		this.term.ifPresent((current) -> updateStandbyCandidates(current.owner()));
 	}
 
-	private void chooseStandbys(PoolOwner owner) {
-		owner.updateRegisteredHosts(this.registry.candidates(System.nanoTime()), this.self);
+	private void updateStandbyCandidates(PoolOwner owner) {
+		owner.updateRegisteredHosts(this.registry.standbyCandidates(System.nanoTime()), this.self);
 	}
 
 	/**
@@ -155,9 +157,9 @@
 	 * @param message the peer's request
 	 * @return the reply
 	 */
-	public CompletableFuture<Envelope.Builder> answer(Envelope message) {
+	public CompletableFuture<Envelope.Builder> handleEligibilityRequest(Envelope message) {
 		Duration remaining = Duration.ofMillis(Math.max(1, message.getRemainingMillis()));
-		return this.eligibility.answer(message.getEligibilityRequest(), remaining);
+		return this.eligibility.handleRequest(message.getEligibilityRequest(), remaining);
 	}
 
 	/**
@@ -165,13 +167,13 @@
 	 * @param message the message
 	 * @return whether a scheduler takes such a message
 	 */
-	public boolean take(Envelope message) {
-		Optional<Runnable> news = news(message);
-		news.ifPresent(this.control::execute);
-		return news.isPresent();
+	public boolean handleNotification(Envelope message) {
+		Optional<Runnable> handler = handlerOf(message);
+		handler.ifPresent(this.control::execute);
+		return handler.isPresent();
 	}
 
-	private Optional<Runnable> news(Envelope message) {
+	private Optional<Runnable> handlerOf(Envelope message) {
 		return switch (message.getBodyCase()) {
 			case TAKE_OVER_REQUEST ->
 				Optional.of(() -> this.election.takeOverRequested(message.getTakeOverRequest().getVersion()));
@@ -180,9 +182,9 @@
 			case OWNER_RELEASED -> read(message.getOwnerReleased().getRecordJson(), OwnerRecord.class)
 				.map((record) -> () -> this.election.ownerReleased(record, message.getOwnerReleased().getVersion()));
 			case JOB_ACCEPTED -> read(message.getJobAccepted().getSubmissionJson(), Submission.class)
-				.map((submission) -> () -> accepted(submission, message.getJobAccepted().getVersion()));
+				.map((submission) -> () -> jobAccepted(submission, message.getJobAccepted().getVersion()));
 			case JOB_CANCELLED -> Optional.of(() -> this.term
-				.ifPresent((present) -> present.owner().jobCancelled(message.getJobCancelled().getJob())));
+				.ifPresent((current) -> current.owner().jobCancelled(message.getJobCancelled().getJob())));
 			default -> Optional.empty();
 		};
 	}
@@ -200,30 +202,30 @@
 		}
 	}
 
-	private void accepted(Submission submission, long version) {
-		this.term.ifPresent((present) -> present.owner().jobAccepted(submission, version));
+	private void jobAccepted(Submission submission, long version) {
+		this.term.ifPresent((current) -> current.owner().jobAccepted(submission, version));
 	}
 
-	private void configure(QueueConfiguration inForce) {
-		this.term.ifPresent((present) -> present.owner().configure(inForce));
+	private void configurationChanged(QueueConfiguration inForce) {
+		this.term.ifPresent((current) -> current.owner().configure(inForce));
 	}
 
-	private void won(TakeOver taken) {
-		PoolOwner owner = new PoolOwner(this.ports, this.jobs, taken, this.peers, this::over);
-		Term next = new Term(owner,
-				new HostListFeed(this.ports.table(), this.control, owner::updateWorkers, this.unreadable));
-		this.term = Optional.of(next);
-		owner.updateHosts(this.registry.names());
+	private void becomeOwner(TakeOver takeOver) {
+		PoolOwner owner = new PoolOwner(this.dependencies, this.jobs, takeOver, this.peers, this::ownershipEnded);
+		Term newTerm = new Term(owner,
+				new HostListFeed(this.dependencies.table(), this.control, owner::updateWorkers, this.unreadable));
+		this.term = Optional.of(newTerm);
+		owner.updateHosts(this.registry.hostNames());
 		if (this.configuration.inForce().version() > 0) {
 			owner.configure(this.configuration.inForce());
 		}
 		owner.start();
-		next.hostList().start();
+		newTerm.hostList().start();
 		this.registry.follow();
 	}
 
-	private void over(String reason) {
-		this.term.ifPresent((ended) -> ended.hostList().close());
+	private void ownershipEnded(String reason) {
+		this.term.ifPresent((endedTerm) -> endedTerm.hostList().close());
 		this.registry.close();
 		this.term = Optional.empty();
 		this.released.complete(null);
@@ -235,12 +237,12 @@
 	public void train() {
 		List<Integer> ports = this.settings.internalPorts();
 		HostAddress unused = new HostAddress(this.settings.ip(), ports.get(ports.size() - 1));
-		WorkerInfo nobody = new WorkerInfo("none", "none", unused.toString(), "none", Resources.NONE, List.of(), "none",
-				false, 0);
-		PollRequest look = new PollRequest(0, 0, OptionalLong.empty(), Duration.ZERO);
+		WorkerInfo placeholder = new WorkerInfo("none", "none", unused.toString(), "none", Resources.NONE, List.of(),
+				"none", false, 0);
+		PollRequest poll = new PollRequest(0, 0, OptionalLong.empty(), Duration.ZERO);
 		for (int i = 0; i < TRAINING_CALLS; i++) {
-			this.ports.orders().poll(nobody, look).join();
-			this.ports.table().commit(PartitionWrite.to("none")).join();
+			this.dependencies.orders().poll(placeholder, poll).join();
+			this.dependencies.table().commit(PartitionWrite.to("none")).join();
 		}
 	}
 
@@ -251,10 +253,10 @@
 	public CompletableFuture<Void> release() {
 		this.control.execute(() -> {
 			this.election.close();
-			this.registry.stopping();
-			this.term.ifPresentOrElse((present) -> present.owner().release(), () -> this.released.complete(null));
+			this.registry.announceStop();
+			this.term.ifPresentOrElse((current) -> current.owner().release(), () -> this.released.complete(null));
 		});
-		return this.released.completeOnTimeout(null, RELEASE_MILLIS, TimeUnit.MILLISECONDS);
+		return this.released.completeOnTimeout(null, RELEASE_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
 	}
 
 	/**
@@ -267,17 +269,17 @@
 	private final class HostListener implements HostRegistry.Listener {
 
 		@Override
-		public void known(List<String> hosts) {
+		public void hostsChanged(List<String> hosts) {
 			PoolScheduler scheduler = PoolScheduler.this;
-			scheduler.term.ifPresent((present) -> {
-				present.owner().updateHosts(hosts);
-				scheduler.chooseStandbys(present.owner());
+			scheduler.term.ifPresent((current) -> {
+				current.owner().updateHosts(hosts);
+				scheduler.updateStandbyCandidates(current.owner());
 			});
 		}
 
 		@Override
-		public void restarted(String host) {
-			PoolScheduler.this.term.ifPresent((present) -> present.owner().hostRestarted(host));
+		public void hostRestarted(String host) {
+			PoolScheduler.this.term.ifPresent((current) -> current.owner().hostRestarted(host));
 		}
 
 	}
--- a/monsoonrelay-scheduler/src/test/java/org/monsoonrelay/scheduler/PeerDirectoryTests.java
+++ b/monsoonrelay-scheduler/src/test/java/org/monsoonrelay/scheduler/PeerDirectoryTests.java
@@ -7,9 +7,9 @@
 
 class PeerDirectoryTests {
 
-	private static final long LAPSE_NANOS = 4_000_000_000L;
+	private static final long EXPIRY_NANOS = 4_000_000_000L;
 
-	private final PeerDirectory peers = new PeerDirectory(LAPSE_NANOS);
+	private final PeerDirectory peers = new PeerDirectory(EXPIRY_NANOS);
 
 	private static Announcement announcement(String session, String address, long version) {
 		return Announcement.newBuilder().setSession(session).setAddress(address).setVersion(version).build();
@@ -17,26 +17,26 @@
 
 	@Test
 	void aProcessThatStartedAnewTakesThePlaceOfTheEarlierOne() {
-		this.peers.heard(announcement("old", "10.0.0.1:7000", 4), 0);
-		this.peers.heard(announcement("other", "10.0.0.2:7000", 4), 0);
-		assertThat(this.peers.heard(announcement("new", "10.0.0.1:7000", 0), 1)).containsExactly("old");
+		this.peers.announcementReceived(announcement("old", "10.0.0.1:7000", 4), 0);
+		this.peers.announcementReceived(announcement("other", "10.0.0.2:7000", 4), 0);
+		assertThat(this.peers.announcementReceived(announcement("new", "10.0.0.1:7000", 0), 1)).containsExactly("old");
 		assertThat(this.peers.announcements()).extracting(Announcement::getSession)
 			.containsExactlyInAnyOrder("new", "other");
 	}
 
 	@Test
 	void aLateWordOfAReplacedProcessChangesNothing() {
-		this.peers.heard(announcement("old", "10.0.0.1:7000", 4), 0);
-		this.peers.heard(announcement("new", "10.0.0.1:7000", 5), 1);
-		assertThat(this.peers.heard(announcement("old", "10.0.0.1:7000", 4), 2)).isEmpty();
+		this.peers.announcementReceived(announcement("old", "10.0.0.1:7000", 4), 0);
+		this.peers.announcementReceived(announcement("new", "10.0.0.1:7000", 5), 1);
+		assertThat(this.peers.announcementReceived(announcement("old", "10.0.0.1:7000", 4), 2)).isEmpty();
 		assertThat(this.peers.announcements()).extracting(Announcement::getVersion).containsExactly(5L);
 	}
 
 	@Test
 	void aSilentProcessIsDropped() {
-		this.peers.heard(announcement("one", "10.0.0.1:7000", 4), 0);
-		assertThat(this.peers.dropSilent(LAPSE_NANOS)).isEmpty();
-		assertThat(this.peers.dropSilent(LAPSE_NANOS + 1)).containsExactly("one");
+		this.peers.announcementReceived(announcement("one", "10.0.0.1:7000", 4), 0);
+		assertThat(this.peers.removeUnresponsive(EXPIRY_NANOS)).isEmpty();
+		assertThat(this.peers.removeUnresponsive(EXPIRY_NANOS + 1)).containsExactly("one");
 	}
 
 }
--- a/monsoonrelay-scheduler/src/test/java/org/monsoonrelay/scheduler/QueueActivationTests.java
+++ b/monsoonrelay-scheduler/src/test/java/org/monsoonrelay/scheduler/QueueActivationTests.java
@@ -10,7 +10,7 @@
 
 class QueueActivationTests {
 
-	private static final Duration MOMENT = Duration.ofNanos(1);
+	private static final Duration ONE_NANOSECOND = Duration.ofNanos(1);
 
 	private final List<String> active = new ArrayList<>();
 
@@ -21,52 +21,52 @@
 	private final QueueActivation activation = new QueueActivation(() -> this.nanos, this.active::contains,
 			this.active::add, this.claimed::add);
 
-	private void pass(Duration time) {
+	private void advanceClock(Duration time) {
 		this.nanos += time.toNanos();
 	}
 
 	@Test
 	void aQueueBeginsOnceAllRacksAreKnownAndTheirOwnersHadTimeToTell() {
-		this.activation.owned("crew");
-		pass(QueueActivation.CLAIM);
-		this.activation.round(true);
+		this.activation.ownershipAcquired("crew");
+		advanceClock(QueueActivation.CLAIM_WAIT);
+		this.activation.runRound(true);
 		assertThat(this.active).isEmpty();
 		assertThat(this.claimed).containsExactly("crew");
-		pass(MOMENT);
-		this.activation.round(true);
+		advanceClock(ONE_NANOSECOND);
+		this.activation.runRound(true);
 		assertThat(this.active).containsExactly("crew");
 		assertThat(this.claimed).containsExactly("crew");
 	}
 
 	@Test
 	void aQueueBeginsAfterTheLimitThoughSomeRacksAreNotKnown() {
-		this.activation.owned("crew");
-		pass(QueueActivation.LIMIT);
-		this.activation.round(false);
+		this.activation.ownershipAcquired("crew");
+		advanceClock(QueueActivation.MAX_WAIT);
+		this.activation.runRound(false);
 		assertThat(this.active).isEmpty();
-		pass(MOMENT);
-		this.activation.round(false);
+		advanceClock(ONE_NANOSECOND);
+		this.activation.runRound(false);
 		assertThat(this.active).containsExactly("crew");
 	}
 
 	@Test
 	void anActiveQueueIsLeftAlone() {
 		this.active.add("crew");
-		this.activation.owned("crew");
-		pass(QueueActivation.LIMIT.plus(MOMENT));
-		this.activation.round(true);
+		this.activation.ownershipAcquired("crew");
+		advanceClock(QueueActivation.MAX_WAIT.plus(ONE_NANOSECOND));
+		this.activation.runRound(true);
 		assertThat(this.active).containsExactly("crew");
 		assertThat(this.claimed).isEmpty();
 	}
 
 	@Test
 	void aQueueThatIsOwnedAgainWaitsAnew() {
-		this.activation.owned("crew");
-		pass(QueueActivation.CLAIM.plus(MOMENT));
-		this.activation.owned("crew");
-		this.activation.disowned("crew");
-		this.activation.owned("crew");
-		this.activation.round(true);
+		this.activation.ownershipAcquired("crew");
+		advanceClock(QueueActivation.CLAIM_WAIT.plus(ONE_NANOSECOND));
+		this.activation.ownershipAcquired("crew");
+		this.activation.ownershipReleased("crew");
+		this.activation.ownershipAcquired("crew");
+		this.activation.runRound(true);
 		assertThat(this.active).isEmpty();
 	}
 
--- a/monsoonrelay-scheduler/src/test/java/org/monsoonrelay/scheduler/SchedulerMetricsTests.java
+++ b/monsoonrelay-scheduler/src/test/java/org/monsoonrelay/scheduler/SchedulerMetricsTests.java
@@ -35,7 +35,7 @@
 	void gaugesShowTheLastSample() {
 		JobStatus job = new JobStatus(new JobId("roster", "r1"), WorkloadKind.BATCH, "salons", 5,
 				Map.of(TaskState.WAITING, 3, TaskState.RUNNING, 2), WaitReason.QUOTA, List.of());
-		this.scheduler.sample(2, List.of(job, job),
+		this.scheduler.takeSample(2, List.of(job, job),
 				new WorkersRoom(4, 32, new Resources(64, 1, 0), new Resources(16, 1, 0)), 7);
 
 		assertThat(value("tasks.waiting")).isEqualTo(6L);
--- a/monsoonrelay-scheduler/src/test/java/org/monsoonrelay/scheduler/pool/HostRegistryTests.java
+++ b/monsoonrelay-scheduler/src/test/java/org/monsoonrelay/scheduler/pool/HostRegistryTests.java
@@ -25,12 +25,12 @@
 	private final HostRegistry registry = new HostRegistry(null, null, SELF, new HostRegistry.Listener() {
 
 		@Override
-		public void known(List<String> hosts) {
-			HostRegistryTests.this.told = hosts;
+		public void hostsChanged(List<String> hosts) {
+			HostRegistryTests.this.reportedHosts = hosts;
 		}
 
 		@Override
-		public void restarted(String host) {
+		public void hostRestarted(String host) {
 			HostRegistryTests.this.restarted.add(host);
 		}
 
@@ -38,7 +38,7 @@
 
 	private final List<String> restarted = new ArrayList<>();
 
-	private List<String> told = List.of();
+	private List<String> reportedHosts = List.of();
 
 	private static TableRow row(String host, String value) {
 		return new TableRow(JobTables.HOSTS, "", host, value, 1, false);
@@ -56,7 +56,7 @@
 			"{\"host\":7,\"failureDomain\":\"d\",\"peerAddress\":\"10.0.0.2:70\",\"incarnation\":\"i\"}" })
 	void aRowThatCannotBeReadNamesNoHostAndAllOthersHold(String value) {
 		this.registry.snapshot("", List.of(row("a"), row("b", value), row("c")));
-		assertThat(this.told).containsExactlyInAnyOrder("self", "a", "c");
+		assertThat(this.reportedHosts).containsExactlyInAnyOrder("self", "a", "c");
 		assertThat(this.registry.addresses()).containsOnly(HostAddress.parse("10.0.0.2:70"));
 		assertThat(this.decisions).hasSize(1);
 	}
@@ -65,9 +65,9 @@
 	void aHostWhoseRowTurnsUnreadableIsLeftOutUntilItCanBeRead() {
 		this.registry.snapshot("", List.of(row("a"), row("b")));
 		this.registry.changed(List.of(row("b", "{")));
-		assertThat(this.told).containsExactly("self", "a");
+		assertThat(this.reportedHosts).containsExactly("self", "a");
 		this.registry.changed(List.of(row("b")));
-		assertThat(this.told).containsExactlyInAnyOrder("self", "a", "b");
+		assertThat(this.reportedHosts).containsExactlyInAnyOrder("self", "a", "b");
 		assertThat(this.restarted).isEmpty();
 	}
 
--- a/monsoonrelay-scheduler/src/test/java/org/monsoonrelay/scheduler/pool/PeerEligibilityTests.java
+++ b/monsoonrelay-scheduler/src/test/java/org/monsoonrelay/scheduler/pool/PeerEligibilityClientTests.java
@@ -9,20 +9,20 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class PeerEligibilityTests {
+class PeerEligibilityClientTests {
 
 	private static WorkerInfo worker() {
-		return new WorkerInfo(received(), "salon", "127.0.0.1:1", "porto", Resources.NONE, List.of(), "r", false, 0);
+		return new WorkerInfo(newWorkerId(), "salon", "127.0.0.1:1", "porto", Resources.NONE, List.of(), "r", false, 0);
 	}
 
 	// A string of its own, as each message brings one.
-	private static String received() {
+	private static String newWorkerId() {
 		return new String(new char[] { 'w', '-', '1' });
 	}
 
 	@Test
 	void namesWorkersByTheStringsOfTheirList() {
-		Map<String, String> tickets = PeerEligibility.withKnownIds(Map.of(received(), "ticket"));
+		Map<String, String> tickets = PeerEligibilityClient.withInternedIds(Map.of(newWorkerId(), "ticket"));
 		assertThat(tickets).isEqualTo(Map.of("w-1", "ticket"));
 		assertThat(tickets.keySet().iterator().next()).isSameAs(worker().id()).isSameAs(worker().id());
 	}
