--- a/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/logging/DecisionMetrics.java
+++ b/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/logging/DecisionMetrics.java
@@ -10,7 +10,7 @@
 import org.monsoonrelay.logic.events.Decision;
 import org.monsoonrelay.logic.events.DecisionLog;
 import org.monsoonrelay.logic.events.JobDecision;
-import org.monsoonrelay.logic.events.Measure;
+import org.monsoonrelay.logic.events.Metric;
 import org.monsoonrelay.logic.events.PoolDecision;
 import org.monsoonrelay.logic.events.ProcessDecision;
 
@@ -122,13 +122,13 @@
 	}
 
 	@Override
-	public void measured(Measure measure, long value) {
+	public void recordMetric(Metric measure, long value) {
 		switch (measure) {
-			case START -> note("pool.start.millis", value);
-			case ACKNOWLEDGEMENT -> note("pool.acknowledgement.millis", value);
-			case WASTE -> this.metrics.counter("pool.wasted.core_micros").inc(value);
+			case START_LATENCY -> note("pool.start.millis", value);
+			case ACKNOWLEDGEMENT_LATENCY -> note("pool.acknowledgement.millis", value);
+			case WASTED_PROCESSOR_TIME -> this.metrics.counter("pool.wasted.core_micros").inc(value);
 		}
-		this.next.measured(measure, value);
+		this.next.recordMetric(measure, value);
 	}
 
 	// A body's fault may quote the body: names are bounded.
--- a/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/logging/LineBudget.java
+++ b/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/logging/LineBudget.java
@@ -40,7 +40,7 @@
 				chosen.set(i);
 			}
 			else {
-				(decision.concludes() ? outcomes : rest).add(i);
+				(decision.reportsFinalOutcome() ? outcomes : rest).add(i);
 			}
 		}
 		int left = Math.max(0, LINES - chosen.cardinality());
--- a/monsoonrelay-adapters/src/test/java/org/monsoonrelay/adapters/logging/DecisionMetricsTests.java
+++ b/monsoonrelay-adapters/src/test/java/org/monsoonrelay/adapters/logging/DecisionMetricsTests.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 import org.monsoonrelay.logic.events.Decision;
 import org.monsoonrelay.logic.events.JobDecision;
-import org.monsoonrelay.logic.events.Measure;
+import org.monsoonrelay.logic.events.Metric;
 import org.monsoonrelay.logic.events.PoolDecision;
 
 import static org.assertj.core.api.Assertions.assertThat;
@@ -70,9 +70,9 @@
 
 	@Test
 	void keepFiguresThatHaveNoLine() {
-		this.log.measured(Measure.START, 7);
-		this.log.measured(Measure.ACKNOWLEDGEMENT, 20);
-		this.log.measured(Measure.WASTE, 1_500_000);
+		this.log.recordMetric(Metric.START_LATENCY, 7);
+		this.log.recordMetric(Metric.ACKNOWLEDGEMENT_LATENCY, 20);
+		this.log.recordMetric(Metric.WASTED_PROCESSOR_TIME, 1_500_000);
 		assertThat(this.metrics.histogram("pool.start.millis").getSnapshot().getMax()).isEqualTo(7);
 		assertThat(this.metrics.histogram("pool.acknowledgement.millis").getSnapshot().getMax()).isEqualTo(20);
 		assertThat(count("pool.wasted.core_micros")).isEqualTo(1_500_000);
--- a/monsoonrelay-benchmarks/src/main/java/org/monsoonrelay/benchmarks/placement/BenchmarkCell.java
+++ b/monsoonrelay-benchmarks/src/main/java/org/monsoonrelay/benchmarks/placement/BenchmarkCell.java
@@ -37,7 +37,7 @@
 			int accelerators = (rack % ACCELERATOR_RACK_EVERY == ACCELERATOR_RACK_EVERY - 1) ? ACCELERATORS : 0;
 			Worker worker = new Worker(new WorkerId(String.format("worker-%05d", index)),
 					new Resources(processors, memoryMiB, accelerators));
-			worker.report("incarnation-1", Map.of());
+			worker.applyReport("incarnation-1", Map.of());
 			this.workers.add(worker);
 			this.domains.put(worker.id(), DOMAINS.get(rack % DOMAINS.size()));
 			this.racks.computeIfAbsent(String.format("rack-%04d", rack), (name) -> new ArrayList<>()).add(worker);
@@ -64,8 +64,8 @@
 			int largest = 0;
 			for (Worker worker : inRack) {
 				capacity = capacity.plus(worker.capacity());
-				free = free.plus(worker.free());
-				largest = Math.max(largest, worker.free().processors());
+				free = free.plus(worker.freeCapacity());
+				largest = Math.max(largest, worker.freeCapacity().processors());
 			}
 			summaries
 				.add(new RackSummary(name, domain(inRack.get(0)), 1, inRack.size(), capacity, free, largest, true));
--- a/monsoonrelay-benchmarks/src/main/java/org/monsoonrelay/benchmarks/placement/DecisionBenchmark.java
+++ b/monsoonrelay-benchmarks/src/main/java/org/monsoonrelay/benchmarks/placement/DecisionBenchmark.java
@@ -82,7 +82,7 @@
 		}
 		this.directory = new RackDirectory(this.random);
 		this.directory.update("session", this.cell.summaries());
-		this.directory.beginRound(new WeightedRackPolicy(PolicyWeights.EVEN));
+		this.directory.beginRound(new WeightedRackPolicy(PolicyWeights.EQUAL));
 	}
 
 	@Benchmark
--- a/monsoonrelay-benchmarks/src/main/java/org/monsoonrelay/benchmarks/placement/FirstFitPolicy.java
+++ b/monsoonrelay-benchmarks/src/main/java/org/monsoonrelay/benchmarks/placement/FirstFitPolicy.java
@@ -15,7 +15,7 @@
 
 	@Override
 	public Optional<Worker> choose(JobId job, Resources size, Collection<Worker> workers) {
-		return workers.stream().filter((worker) -> worker.accepts(size)).findFirst();
+		return workers.stream().filter((worker) -> worker.canAccept(size)).findFirst();
 	}
 
 }
--- a/monsoonrelay-benchmarks/src/main/java/org/monsoonrelay/benchmarks/placement/RandomFitPolicy.java
+++ b/monsoonrelay-benchmarks/src/main/java/org/monsoonrelay/benchmarks/placement/RandomFitPolicy.java
@@ -23,7 +23,7 @@
 
 	@Override
 	public Optional<Worker> choose(JobId job, Resources size, Collection<Worker> workers) {
-		List<Worker> fitting = workers.stream().filter((worker) -> worker.accepts(size)).toList();
+		List<Worker> fitting = workers.stream().filter((worker) -> worker.canAccept(size)).toList();
 		return fitting.isEmpty() ? Optional.empty() : Optional.of(fitting.get(this.random.nextInt(fitting.size())));
 	}
 
--- a/monsoonrelay-cli/src/main/java/org/monsoonrelay/cli/ExplainCommand.java
+++ b/monsoonrelay-cli/src/main/java/org/monsoonrelay/cli/ExplainCommand.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.Callable;
 
 import org.monsoonrelay.adapters.logging.Program;
-import org.monsoonrelay.logic.explain.JobStory;
+import org.monsoonrelay.logic.explain.JobTimeline;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
@@ -53,9 +53,9 @@
 		if (this.id.isBlank()) {
 			throw new CommandFailure(Program.INVALID, "the id is empty");
 		}
-		JobStory story = new JobStory(this.id);
+		JobTimeline story = new JobTimeline(this.id);
 		this.files.forEach((file) -> read(file, story));
-		story.gaps().forEach(this.output::notice);
+		story.missingData().forEach(this.output::notice);
 		if (!story.isFound()) {
 			throw new CommandFailure(Program.FAILED, "none of " + story.readCount() + " lines names " + this.id);
 		}
@@ -63,18 +63,18 @@
 			this.output.json(story.lines());
 			return Program.OK;
 		}
-		(this.all ? story.whole() : story.folded()).forEach(this.output::line);
+		(this.all ? story.formatAll() : story.formatCondensed()).forEach(this.output::line);
 		story.causes().forEach((cause) -> this.output.line("=> " + cause));
 		return Program.OK;
 	}
 
-	private void read(String file, JobStory story) {
+	private void read(String file, JobTimeline story) {
 		boolean isStandard = STANDARD_INPUT.equals(file);
 		try (InputStream from = isStandard ? this.input : Files.newInputStream(Path.of(file));
 				BufferedReader lines = new BufferedReader(new InputStreamReader(from, StandardCharsets.UTF_8))) {
 			String name = isStandard ? "stdin" : String.valueOf(Path.of(file).getFileName());
 			for (String line = lines.readLine(); line != null; line = lines.readLine()) {
-				story.take(name, line);
+				story.addLine(name, line);
 			}
 		}
 		catch (IOException ex) {
--- a/monsoonrelay-cli/src/main/java/org/monsoonrelay/cli/StatusCommand.java
+++ b/monsoonrelay-cli/src/main/java/org/monsoonrelay/cli/StatusCommand.java
@@ -88,7 +88,7 @@
 
 	private void print(TaskRecord task, WaitReason reason) {
 		String worker = task.worker().isEmpty() ? "" : " on " + task.worker();
-		boolean waits = !task.state().isFinal() && !task.state().mayRun() && reason != WaitReason.NONE;
+		boolean waits = !task.state().isFinal() && !task.state().mayBeRunning() && reason != WaitReason.NONE;
 		this.output.line("  task " + task.task() + " " + task.state() + worker + " failures=" + task.failures()
 				+ (waits ? " waits: " + sentence(reason) : ""));
 	}
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/events/Decision.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/events/Decision.java
@@ -11,7 +11,7 @@
 	 * line does.
 	 * @return {@code true} if it has to be kept before others
 	 */
-	default boolean concludes() {
+	default boolean reportsFinalOutcome() {
 		return false;
 	}
 
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/events/DecisionLog.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/events/DecisionLog.java
@@ -21,7 +21,7 @@
 	 * @param measure what was measured
 	 * @param value the figure in its unit
 	 */
-	default void measured(Measure measure, long value) {
+	default void recordMetric(Metric measure, long value) {
 	}
 
 }
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/events/JobDecision.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/events/JobDecision.java
@@ -31,7 +31,7 @@
 			long configurationVersion) implements JobDecision {
 
 		@Override
-		public boolean concludes() {
+		public boolean reportsFinalOutcome() {
 			return true;
 		}
 
@@ -47,7 +47,7 @@
 	record RequestRefused(String request, String reason, long configurationVersion) implements JobDecision {
 
 		@Override
-		public boolean concludes() {
+		public boolean reportsFinalOutcome() {
 			return true;
 		}
 
@@ -63,7 +63,7 @@
 	record CancellationAnswered(String job, String outcome, long tookMillis) implements JobDecision {
 
 		@Override
-		public boolean concludes() {
+		public boolean reportsFinalOutcome() {
 			return true;
 		}
 
@@ -92,7 +92,7 @@
 	record JobEnded(String job, String state, long ageMillis, long lateMillis) implements JobDecision {
 
 		@Override
-		public boolean concludes() {
+		public boolean reportsFinalOutcome() {
 			return true;
 		}
 
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/events/Measure.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/events/Metric.java
@@ -3,21 +3,21 @@
 /**
  * Figures that are measured without a line for each.
  */
-public enum Measure {
+public enum Metric {
 
 	/** From sending a start to the worker's word that it runs, milliseconds. */
-	START,
+	START_LATENCY,
 
 	/**
 	 * From taking in ends that a worker lists to the look that acknowledges them,
 	 * milliseconds.
 	 */
-	ACKNOWLEDGEMENT,
+	ACKNOWLEDGEMENT_LATENCY,
 
 	/**
 	 * What a run that did not end well took of its worker, thousandths of a processor
 	 * times milliseconds.
 	 */
-	WASTE
+	WASTED_PROCESSOR_TIME
 
 }
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/explain/CauseOrder.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/explain/CausalOrder.java
@@ -19,14 +19,14 @@
  * brought. Times of day are not looked at. If lines name causes in a circle, the first of
  * the earliest epoch goes on. Stateless and thread-safe.
  */
-final class CauseOrder {
+final class CausalOrder {
 
 	private static final String CANCELLED = "CANCELLED";
 
-	private static final Comparator<Told> BY_SIGHT = Comparator.comparingLong(CauseOrder::rank)
+	private static final Comparator<EpochLine> BY_RANK_AND_POSITION = Comparator.comparingLong(CausalOrder::rank)
 		.thenComparingLong((told) -> told.line().number());
 
-	private CauseOrder() {
+	private CausalOrder() {
 	}
 
 	/**
@@ -34,19 +34,19 @@
 	 * @param lines the lines, those of one process in its order
 	 * @return all of them, causes first
 	 */
-	static List<Told> of(List<Told> lines) {
-		Map<String, Deque<Told>> processes = new LinkedHashMap<>();
+	static List<EpochLine> sort(List<EpochLine> lines) {
+		Map<String, Deque<EpochLine>> processes = new LinkedHashMap<>();
 		lines
 			.forEach((told) -> processes.computeIfAbsent(told.line().source(), (name) -> new ArrayDeque<>()).add(told));
-		List<Told> ordered = new ArrayList<>(lines.size());
+		List<EpochLine> ordered = new ArrayList<>(lines.size());
 		while (!processes.isEmpty()) {
-			List<Told> heads = processes.values().stream().map(Deque::peek).toList();
-			Told next = heads.stream()
-				.filter((head) -> isFree(head, processes.values()))
-				.min(BY_SIGHT)
-				.orElseGet(() -> heads.stream().min(BY_SIGHT).orElseThrow());
+			List<EpochLine> heads = processes.values().stream().map(Deque::peek).toList();
+			EpochLine next = heads.stream()
+				.filter((head) -> hasNoPendingCause(head, processes.values()))
+				.min(BY_RANK_AND_POSITION)
+				.orElseGet(() -> heads.stream().min(BY_RANK_AND_POSITION).orElseThrow());
 			ordered.add(next);
-			Deque<Told> rest = processes.get(next.line().source());
+			Deque<EpochLine> rest = processes.get(next.line().source());
 			rest.remove();
 			if (rest.isEmpty()) {
 				processes.remove(next.line().source());
@@ -56,35 +56,36 @@
 	}
 
 	// Callers' answers first, a cancellation as late as what follows from it lets it be.
-	private static long rank(Told told) {
-		if (told.line().is(JobDecision.CancellationAnswered.class)) {
+	private static long rank(EpochLine told) {
+		if (told.line().isEvent(JobDecision.CancellationAnswered.class)) {
 			return Long.MAX_VALUE;
 		}
-		return Vocabulary.isGateways(told.line()) ? Long.MIN_VALUE : told.epoch();
+		return EventCategories.isIndependentOfOwner(told.line()) ? Long.MIN_VALUE : told.epoch();
 	}
 
-	private static boolean isFree(Told head, Collection<Deque<Told>> processes) {
+	private static boolean hasNoPendingCause(EpochLine head, Collection<Deque<EpochLine>> processes) {
 		return processes.stream()
 			.filter((rest) -> !rest.peek().line().source().equals(head.line().source()))
 			.noneMatch((rest) -> rest.stream().anyMatch((other) -> isCause(other, head)));
 	}
 
-	private static boolean isCause(Told cause, Told effect) {
-		if (cause.epoch() != effect.epoch() && cause.epoch() != Told.NONE && effect.epoch() != Told.NONE) {
+	private static boolean isCause(EpochLine cause, EpochLine effect) {
+		if (cause.epoch() != effect.epoch() && cause.epoch() != EpochLine.NO_EPOCH
+				&& effect.epoch() != EpochLine.NO_EPOCH) {
 			return cause.epoch() < effect.epoch();
 		}
 		LogLine earlier = cause.line();
 		LogLine later = effect.line();
-		if (earlier.is(JobDecision.CancellationAnswered.class)) {
-			return later.is(JobDecision.JobEnded.class) && CANCELLED.equals(later.text("state"));
+		if (earlier.isEvent(JobDecision.CancellationAnswered.class)) {
+			return later.isEvent(JobDecision.JobEnded.class) && CANCELLED.equals(later.text("state"));
 		}
-		boolean isSameTask = earlier.has("task") && earlier.text("task").equals(later.text("task"));
+		boolean isSameTask = earlier.hasField("task") && earlier.text("task").equals(later.text("task"));
 		if (!isSameTask) {
 			return false;
 		}
 		long attempt = earlier.value("attempt");
 		return attempt < later.value("attempt") || (attempt == later.value("attempt")
-				&& earlier.is(JobDecision.TaskPlaced.class) && !later.is(JobDecision.TaskPlaced.class));
+				&& earlier.isEvent(JobDecision.TaskPlaced.class) && !later.isEvent(JobDecision.TaskPlaced.class));
 	}
 
 }
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/explain/CauseFinder.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/explain/CauseFinder.java
@@ -32,25 +32,25 @@
 
 	List<String> causes() {
 		List<String> causes = new ArrayList<>();
-		refused(causes);
-		notStored(causes);
-		notReadable(causes);
-		startedAgainAfterItsEnd(causes);
-		lost(causes);
-		startsThatFailed(causes);
-		ended(causes);
+		addRefusals(causes);
+		addUnstoredSubmissions(causes);
+		addUnreadableRows(causes);
+		addStartsAfterCompletion(causes);
+		addLostRuns(causes);
+		addFailedStarts(causes);
+		addOutcome(causes);
 		return causes;
 	}
 
 	private List<LogLine> all(Class<?> decision) {
-		return this.lines.stream().filter((line) -> line.is(decision)).toList();
+		return this.lines.stream().filter((line) -> line.isEvent(decision)).toList();
 	}
 
 	private Optional<LogLine> first(Class<?> decision) {
 		return all(decision).stream().findFirst();
 	}
 
-	private void refused(List<String> causes) {
+	private void addRefusals(List<String> causes) {
 		for (LogLine line : all(JobDecision.RequestRefused.class)) {
 			String cause = "refused by " + line.source() + ": " + line.text("reason") + ", decided by configuration "
 					+ line.text("configurationVersion");
@@ -60,7 +60,7 @@
 		}
 	}
 
-	private void notStored(List<String> causes) {
+	private void addUnstoredSubmissions(List<String> causes) {
 		for (LogLine line : all(JobDecision.SubmissionAnswered.class)) {
 			String outcome = line.text("outcome");
 			if (ACCEPTED.equals(outcome)) {
@@ -80,21 +80,21 @@
 		}
 	}
 
-	private void notReadable(List<String> causes) {
+	private void addUnreadableRows(List<String> causes) {
 		for (LogLine line : all(ProcessDecision.RowUnreadable.class)) {
 			causes.add("left alone by " + line.source() + ": its row in " + line.text("table") + " cannot be read, "
 					+ line.text("reason"));
 		}
 	}
 
-	private void startedAgainAfterItsEnd(List<String> causes) {
+	private void addStartsAfterCompletion(List<String> causes) {
 		Map<String, LogLine> done = new HashMap<>();
 		for (LogLine line : this.lines) {
 			String task = line.text("task");
-			if (line.is(JobDecision.TaskEnded.class) && "DONE".equals(line.text("end"))) {
+			if (line.isEvent(JobDecision.TaskEnded.class) && "DONE".equals(line.text("end"))) {
 				done.putIfAbsent(task, line);
 			}
-			else if (line.is(JobDecision.TaskPlaced.class) && done.containsKey(task)) {
+			else if (line.isEvent(JobDecision.TaskPlaced.class) && done.containsKey(task)) {
 				LogLine end = done.get(task);
 				causes.add(task + " was placed again as attempt " + line.value("attempt") + " on " + line.text("worker")
 						+ " by the owner of epoch " + line.value("fence") + " after attempt " + end.value("attempt")
@@ -103,7 +103,7 @@
 		}
 	}
 
-	private void lost(List<String> causes) {
+	private void addLostRuns(List<String> causes) {
 		Map<String, List<LogLine>> byWorker = new LinkedHashMap<>();
 		for (LogLine line : all(JobDecision.TaskLost.class)) {
 			byWorker.computeIfAbsent(line.text("worker"), (worker) -> new ArrayList<>()).add(line);
@@ -116,15 +116,15 @@
 				.orElse("");
 			LogLine run = runs.get(0);
 			causes.add(runs.size() + " runs were lost with worker " + worker + ": " + run.text("reason") + silent + "; "
-					+ next(run));
+					+ describeNextAttempt(run));
 		});
 		long foreign = all(JobDecision.TaskEnded.class).stream().filter((line) -> line.value("ranMillis") < 0).count();
 		if (foreign > 0) {
-			causes.add(foreign + " runs ended that an earlier owner had started" + takeOver());
+			causes.add(foreign + " runs ended that an earlier owner had started" + describeTakeOver());
 		}
 	}
 
-	private String next(LogLine lost) {
+	private String describeNextAttempt(LogLine lost) {
 		return all(JobDecision.TaskPlaced.class).stream()
 			.filter((line) -> line.text("task").equals(lost.text("task"))
 					&& line.value("attempt") > lost.value("attempt"))
@@ -134,14 +134,14 @@
 			.orElse(lost.text("task") + " was not placed again");
 	}
 
-	private String takeOver() {
+	private String describeTakeOver() {
 		return first(PoolDecision.OwnershipTaken.class)
 			.map((line) -> ": " + line.source() + " took the pool over from " + line.text("previousHolder")
 					+ " as epoch " + line.value("epoch") + ", " + line.text("reason"))
 			.orElse("");
 	}
 
-	private void startsThatFailed(List<String> causes) {
+	private void addFailedStarts(List<String> causes) {
 		Map<String, Integer> byOutcome = new LinkedHashMap<>();
 		all(JobDecision.StartFailed.class)
 			.forEach((line) -> byOutcome.merge(line.text("outcome") + " at " + line.text("worker"), 1, Integer::sum));
@@ -150,32 +150,32 @@
 		}
 	}
 
-	private void ended(List<String> causes) {
+	private void addOutcome(List<String> causes) {
 		Optional<LogLine> end = first(JobDecision.JobEnded.class);
 		if (end.isPresent()) {
 			LogLine line = end.get();
 			if ("FAILED".equals(line.text("state"))) {
-				causes.add("failed: " + failures());
+				causes.add("failed: " + describeFailures());
 			}
 			if ("CANCELLED".equals(line.text("state"))) {
 				causes.add("cancelled" + first(JobDecision.CancellationAnswered.class)
 					.map((answer) -> ", as a caller asked of " + answer.source())
 					.orElse(""));
 			}
-			causes.add(new Lateness(this.lines, line).text() + pause());
+			causes.add(new TimeBreakdown(this.lines, line).text() + describeRecoveries());
 			return;
 		}
 		boolean isAccepted = all(JobDecision.SubmissionAnswered.class).stream()
 			.anyMatch((line) -> ACCEPTED.equals(line.text("outcome")));
-		if (this.lines.stream().anyMatch(Vocabulary::isOwnersOfJob)) {
-			causes.add("no line tells its end: " + open() + pause());
+		if (this.lines.stream().anyMatch(EventCategories::isJobLineOfOwner)) {
+			causes.add("no line tells its end: " + describeUnfinished() + describeRecoveries());
 		}
 		else if (isAccepted) {
-			causes.add("accepted, but no line tells that an owner has learnt of it" + pause());
+			causes.add("accepted, but no line tells that an owner has learnt of it" + describeRecoveries());
 		}
 	}
 
-	private String failures() {
+	private String describeFailures() {
 		Map<String, List<String>> failed = new LinkedHashMap<>();
 		for (LogLine line : all(JobDecision.TaskEnded.class)) {
 			if ("FAILED".equals(line.text("end"))) {
@@ -191,28 +191,29 @@
 			.orElse("no line tells which task");
 	}
 
-	private String open() {
+	private String describeUnfinished() {
 		Map<String, LogLine> running = new LinkedHashMap<>();
 		for (LogLine line : this.lines) {
 			String run = line.text("task") + " attempt " + line.text("attempt");
-			if (line.is(JobDecision.TaskPlaced.class)) {
+			if (line.isEvent(JobDecision.TaskPlaced.class)) {
 				running.put(run, line);
 			}
-			else if (line.is(JobDecision.TaskEnded.class) || line.is(JobDecision.TaskLost.class)) {
+			else if (line.isEvent(JobDecision.TaskEnded.class) || line.isEvent(JobDecision.TaskLost.class)) {
 				running.remove(run);
 			}
 		}
 		if (running.isEmpty()) {
-			return Waiting.text(this.lines);
+			return PendingStepReport.text(this.lines);
 		}
 		Map.Entry<String, LogLine> one = running.entrySet().iterator().next();
 		String runs = running.size() + " runs were placed whose end no line tells, such as " + one.getKey() + " on "
 				+ one.getValue().text("worker");
-		return Waiting.isAsked(this.lines) ? Waiting.text(this.lines) + "; " + runs : runs;
+		return PendingStepReport.hasUnplacedQueriedStep(this.lines) ? PendingStepReport.text(this.lines) + "; " + runs
+				: runs;
 	}
 
 	// An epoch that was taken and not settled places nothing of what it has not loaded.
-	private String pause() {
+	private String describeRecoveries() {
 		StringBuilder text = new StringBuilder();
 		for (LogLine taken : all(PoolDecision.OwnershipTaken.class)) {
 			long epoch = taken.value("epoch");
@@ -223,14 +224,14 @@
 				.append(" (")
 				.append(taken.text("reason"))
 				.append("), ")
-				.append(took(PoolDecision.OwnershipSettled.class, epoch, "had loaded all jobs"))
+				.append(describeDuration(PoolDecision.OwnershipSettled.class, epoch, "had loaded all jobs"))
 				.append(", ")
-				.append(took(PoolDecision.WorkersAccounted.class, epoch, "had heard of all workers"));
+				.append(describeDuration(PoolDecision.WorkersAccounted.class, epoch, "had heard of all workers"));
 		}
 		return text.toString();
 	}
 
-	private String took(Class<?> decision, long epoch, String what) {
+	private String describeDuration(Class<?> decision, long epoch, String what) {
 		return all(decision).stream()
 			.filter((line) -> line.value("epoch") == epoch)
 			.map((line) -> what + " after " + line.value("tookMillis") + " ms")
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/explain/Epochs.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/explain/EpochInference.java
@@ -10,9 +10,9 @@
  * took the pool before the first line that was read, and those that have lost what names
  * their process. An epoch has one owner. Stateless and thread-safe.
  */
-final class Epochs {
+final class EpochInference {
 
-	private Epochs() {
+	private EpochInference() {
 	}
 
 	/**
@@ -20,41 +20,44 @@
 	 * @param lines lines in the order in which they were read
 	 * @return the lines in that order
 	 */
-	static List<Told> completed(List<Told> lines) {
+	static List<EpochLine> inferMissing(List<EpochLine> lines) {
 		Map<String, Long> next = new HashMap<>();
-		List<Told> completed = new ArrayList<>(lines);
+		List<EpochLine> completed = new ArrayList<>(lines);
 		for (int i = lines.size() - 1; i >= 0; i--) {
-			Told told = lines.get(i);
-			if (Vocabulary.isGateways(told.line())) {
+			EpochLine told = lines.get(i);
+			if (EventCategories.isIndependentOfOwner(told.line())) {
 				continue;
 			}
-			if (told.epoch() == Told.NONE) {
-				completed.set(i, new Told(told.line(), next.getOrDefault(told.line().source(), Told.NONE)));
+			if (told.epoch() == EpochLine.NO_EPOCH) {
+				completed.set(i,
+						new EpochLine(told.line(), next.getOrDefault(told.line().source(), EpochLine.NO_EPOCH)));
 			}
 			else {
 				next.put(told.line().source(), told.epoch());
 			}
 		}
-		return named(completed);
+		return inferSources(completed);
 	}
 
-	private static List<Told> named(List<Told> lines) {
+	private static List<EpochLine> inferSources(List<EpochLine> lines) {
 		Map<Long, String> owners = new HashMap<>();
-		for (Told told : lines) {
-			if (told.epoch() != Told.NONE && !told.line().source().equals(LineReader.NOBODY)) {
+		for (EpochLine told : lines) {
+			if (told.epoch() != EpochLine.NO_EPOCH && !told.line().source().equals(LogLineParser.UNKNOWN_SOURCE)) {
 				owners.putIfAbsent(told.epoch(), told.line().source());
 			}
 		}
-		long last = owners.keySet().stream().min(Long::compare).orElse(Told.NONE);
-		List<Told> named = new ArrayList<>();
-		for (Told told : lines) {
-			boolean isNobodys = told.line().source().equals(LineReader.NOBODY) && !Vocabulary.isGateways(told.line());
+		long last = owners.keySet().stream().min(Long::compare).orElse(EpochLine.NO_EPOCH);
+		List<EpochLine> named = new ArrayList<>();
+		for (EpochLine told : lines) {
+			boolean isNobodys = told.line().source().equals(LogLineParser.UNKNOWN_SOURCE)
+					&& !EventCategories.isIndependentOfOwner(told.line());
 			if (isNobodys && owners.containsKey(last)) {
 				LogLine line = told.line();
-				named.add(new Told(new LogLine(owners.get(last), line.number(), line.event(), line.fields()), last));
+				named.add(
+						new EpochLine(new LogLine(owners.get(last), line.number(), line.event(), line.fields()), last));
 				continue;
 			}
-			last = (told.epoch() == Told.NONE) ? last : told.epoch();
+			last = (told.epoch() == EpochLine.NO_EPOCH) ? last : told.epoch();
 			named.add(told);
 		}
 		return named;
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/explain/Vocabulary.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/explain/EventCategories.java
@@ -10,9 +10,9 @@
 /**
  * Which events are whose. Stateless and thread-safe.
  */
-final class Vocabulary {
+final class EventCategories {
 
-	private static final Set<String> GATEWAYS = names(JobDecision.SubmissionAnswered.class,
+	private static final Set<String> INDEPENDENT_OF_OWNER = names(JobDecision.SubmissionAnswered.class,
 			JobDecision.WriteRelayed.class, JobDecision.CancellationAnswered.class, JobDecision.RequestRefused.class,
 			ProcessDecision.DependencyLost.class, ProcessDecision.DependencyBack.class,
 			ProcessDecision.RowUnreadable.class);
@@ -23,7 +23,7 @@
 	private static final Set<String> WORKERS = names(PoolDecision.WorkerSilent.class, PoolDecision.WorkerLost.class,
 			PoolDecision.WorkerAvoided.class);
 
-	private Vocabulary() {
+	private EventCategories() {
 	}
 
 	private static Set<String> names(Class<?>... decisions) {
@@ -35,19 +35,19 @@
 	 * @param line the line
 	 * @return {@code true} if its process's epoch says nothing of it
 	 */
-	static boolean isGateways(LogLine line) {
-		return GATEWAYS.contains(line.event());
+	static boolean isIndependentOfOwner(LogLine line) {
+		return INDEPENDENT_OF_OWNER.contains(line.event());
 	}
 
-	static boolean isOwnersOfJob(LogLine line) {
-		return line.has("job") && !isGateways(line);
+	static boolean isJobLineOfOwner(LogLine line) {
+		return line.hasField("job") && !isIndependentOfOwner(line);
 	}
 
-	static boolean isOfOwnership(LogLine line) {
+	static boolean isOwnershipEvent(LogLine line) {
 		return OWNERSHIP.contains(line.event());
 	}
 
-	static boolean isOfWorker(LogLine line) {
+	static boolean isWorkerEvent(LogLine line) {
 		return WORKERS.contains(line.event());
 	}
 
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/explain/JobStory.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/explain/JobTimeline.java
@@ -14,41 +14,41 @@
  * taken one at a time; kept are those that name the id and, up to a bound, those that say
  * what became of owners, workers and dependencies. Not thread-safe.
  */
-public final class JobStory {
+public final class JobTimeline {
 
 	/** Lines of the id that are kept at most; a job of 2,000 tasks writes some 6,000. */
-	private static final int MOST_OWN = 20_000;
+	private static final int MAX_JOB_LINES = 20_000;
 
 	/** Parts of the name of a task. */
 	private static final int TASK_PARTS = 4;
 
-	private static final String LEFT_OUT = "\"LinesLeftOut\"";
+	private static final String OMITTED_LINES_EVENT = "\"LinesLeftOut\"";
 
 	private final String id;
 
 	private final String job;
 
-	private final Map<String, LineReader> readers = new HashMap<>();
+	private final Map<String, LogLineParser> readers = new HashMap<>();
 
-	private final List<Told> own = new ArrayList<>();
+	private final List<EpochLine> jobLines = new ArrayList<>();
 
-	private final Surroundings surroundings = new Surroundings();
+	private final ContextLines contextLines = new ContextLines();
 
 	private final Map<String, Long> epochs = new HashMap<>();
 
-	private long read;
+	private long readLines;
 
-	private long cut;
+	private long truncatedLines;
 
-	private long cutOwn;
+	private long truncatedJobLines;
 
-	private long leftOut;
+	private long omittedLines;
 
 	/**
 	 * Begin a story.
 	 * @param id id of a job, task or request
 	 */
-	public JobStory(String id) {
+	public JobTimeline(String id) {
 		this.id = id;
 		String[] parts = id.split("\\.");
 		this.job = (parts.length == TASK_PARTS) ? parts[0] : id;
@@ -59,67 +59,69 @@
 	 * @param input name of what it was read from
 	 * @param text the line, with or without something before its JSON
 	 */
-	public void take(String input, String text) {
-		this.read++;
-		if (text.contains(this.job) || text.contains(LEFT_OUT) || Surroundings.mayConcern(text)) {
-			Optional<LogLine> line = this.readers.computeIfAbsent(input, LineReader::new).read(text, this.read);
-			line.ifPresentOrElse(this::take, () -> noteCut(text));
+	public void addLine(String input, String text) {
+		this.readLines++;
+		if (text.contains(this.job) || text.contains(OMITTED_LINES_EVENT) || ContextLines.mayBeRelevant(text)) {
+			Optional<LogLine> line = this.readers.computeIfAbsent(input, LogLineParser::new)
+				.parse(text, this.readLines);
+			line.ifPresentOrElse(this::addLine, () -> countTruncated(text));
 		}
 		else if (text.contains("{\"at\"") && !text.endsWith("}")) {
-			this.cut++;
+			this.truncatedLines++;
 		}
 	}
 
-	private void noteCut(String text) {
+	private void countTruncated(String text) {
 		if (text.contains("{\"")) {
-			this.cut++;
+			this.truncatedLines++;
 			boolean isNamed = text.contains('"' + this.id + '"') || text.contains('"' + this.id + '.');
-			this.cutOwn += isNamed ? 1 : 0;
+			this.truncatedJobLines += isNamed ? 1 : 0;
 		}
 	}
 
-	private void take(LogLine line) {
-		if (line.is(PoolDecision.OwnershipTaken.class)) {
+	private void addLine(LogLine line) {
+		if (line.isEvent(PoolDecision.OwnershipTaken.class)) {
 			this.epochs.put(line.source(), line.value("epoch"));
 		}
-		else if (line.is(JobDecision.TaskPlaced.class)) {
+		else if (line.isEvent(JobDecision.TaskPlaced.class)) {
 			this.epochs.put(line.source(), line.value("fence"));
 		}
-		if (isOwn(line)) {
-			if (this.own.size() < MOST_OWN) {
-				boolean isOwners = !Vocabulary.isGateways(line);
-				this.own.add(new Told(line, isOwners ? epoch(line) : Told.NONE));
+		if (concernsId(line)) {
+			if (this.jobLines.size() < MAX_JOB_LINES) {
+				boolean isOwners = !EventCategories.isIndependentOfOwner(line);
+				this.jobLines.add(new EpochLine(line, isOwners ? epoch(line) : EpochLine.NO_EPOCH));
 			}
 			else {
-				this.leftOut++;
+				this.omittedLines++;
 			}
 		}
 		else if ("LinesLeftOut".equals(line.event())) {
-			this.leftOut += line.value("count");
+			this.omittedLines += line.value("count");
 		}
 		else {
-			this.surroundings.take(new Told(line, Vocabulary.isGateways(line) ? Told.NONE : epoch(line)));
+			this.contextLines.add(
+					new EpochLine(line, EventCategories.isIndependentOfOwner(line) ? EpochLine.NO_EPOCH : epoch(line)));
 		}
 	}
 
 	private long epoch(LogLine line) {
-		return this.epochs.getOrDefault(line.source(), Told.NONE);
+		return this.epochs.getOrDefault(line.source(), EpochLine.NO_EPOCH);
 	}
 
-	private boolean isOwn(LogLine line) {
+	private boolean concernsId(LogLine line) {
 		if (!line.text("job").equals(this.job)) {
-			return isOf(line.text("request")) || isOf(line.text("key"));
+			return pathNamesId(line.text("request")) || pathNamesId(line.text("key"));
 		}
 		if (this.job.equals(this.id)) {
 			return true;
 		}
 		String step = line.step();
-		boolean isOther = line.has("task") && !line.text("task").equals(this.id);
+		boolean isOther = line.hasField("task") && !line.text("task").equals(this.id);
 		return !isOther && (step.isEmpty() || this.id.startsWith(this.job + '.' + step + '.'));
 	}
 
 	// The path of a request, or the key of a row.
-	private boolean isOf(String path) {
+	private boolean pathNamesId(String path) {
 		return path.equals(this.id) || path.endsWith('/' + this.id) || path.startsWith(this.id + '/');
 	}
 
@@ -128,7 +130,7 @@
 	 * @return {@code false} if there is nothing to tell
 	 */
 	public boolean isFound() {
-		return !this.own.isEmpty();
+		return !this.jobLines.isEmpty();
 	}
 
 	/**
@@ -136,30 +138,30 @@
 	 * @return the lines
 	 */
 	public List<LogLine> lines() {
-		return ordered().stream().map(Told::line).toList();
+		return orderedLines().stream().map(EpochLine::line).toList();
 	}
 
-	private List<Told> ordered() {
-		List<Told> all = new ArrayList<>(Epochs.completed(this.own));
-		all.addAll(this.surroundings.of(all));
+	private List<EpochLine> orderedLines() {
+		List<EpochLine> all = new ArrayList<>(EpochInference.inferMissing(this.jobLines));
+		all.addAll(this.contextLines.relevantTo(all));
 		all.sort((one, other) -> Long.compare(one.line().number(), other.line().number()));
-		return CauseOrder.of(all);
+		return CausalOrder.sort(all);
 	}
 
 	/**
 	 * The story in a dozen lines, alike ones folded.
 	 * @return the lines
 	 */
-	public List<String> folded() {
-		return StoryText.folded(ordered());
+	public List<String> formatCondensed() {
+		return TimelineFormatter.formatCondensed(orderedLines());
 	}
 
 	/**
 	 * The story with one line for each that was read.
 	 * @return the lines
 	 */
-	public List<String> whole() {
-		return StoryText.whole(ordered());
+	public List<String> formatAll() {
+		return TimelineFormatter.formatAll(orderedLines());
 	}
 
 	/**
@@ -174,13 +176,13 @@
 	 * What may be missing.
 	 * @return a few lines, none if nothing is known to be missing
 	 */
-	public List<String> gaps() {
+	public List<String> missingData() {
 		List<String> gaps = new ArrayList<>();
-		if (this.cut > 0) {
-			gaps.add(this.cut + " lines are cut, " + this.cutOwn + " of them name " + this.id);
+		if (this.truncatedLines > 0) {
+			gaps.add(this.truncatedLines + " lines are cut, " + this.truncatedJobLines + " of them name " + this.id);
 		}
-		if (this.leftOut > 0) {
-			gaps.add(this.leftOut + " lines of all jobs were left out by their bounds: steps may be missing");
+		if (this.omittedLines > 0) {
+			gaps.add(this.omittedLines + " lines of all jobs were left out by their bounds: steps may be missing");
 		}
 		return gaps;
 	}
@@ -190,7 +192,7 @@
 	 * @return the number
 	 */
 	public long readCount() {
-		return this.read;
+		return this.readLines;
 	}
 
 }
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/explain/LogLine.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/explain/LogLine.java
@@ -25,11 +25,11 @@
 		return this.fields.path(field).asLong();
 	}
 
-	boolean is(Class<?> decision) {
+	boolean isEvent(Class<?> decision) {
 		return this.event.equals(decision.getSimpleName());
 	}
 
-	boolean has(String field) {
+	boolean hasField(String field) {
 		return this.fields.has(field);
 	}
 
@@ -42,7 +42,7 @@
 		if (task.split("\\.").length != TASK_PARTS) {
 			return text("step");
 		}
-		return TaskKey.parse(task).stepKey().local();
+		return TaskKey.parse(task).stepKey().localName();
 	}
 
 }
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/explain/LineReader.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/explain/LogLineParser.java
@@ -17,36 +17,36 @@
  * last said it has started. A line that has lost its beginning alone is nobody's. Not
  * thread-safe: lines of one input are to be read in their order.
  */
-final class LineReader {
+final class LogLineParser {
 
 	/** Process of a line that has lost what names it. */
-	static final String NOBODY = "?";
+	static final String UNKNOWN_SOURCE = "?";
 
 	/** Braces in what stands before the JSON that are passed over, at most. */
-	private static final int MOST_BRACES = 4;
+	private static final int MAX_BRACES = 4;
 
 	private static final String EVENT = "event";
 
-	private static final Pattern ADDRESS = Pattern.compile("\\d+(\\.\\d+){3}(:\\d+)?");
+	private static final Pattern IP_ADDRESS = Pattern.compile("\\d+(\\.\\d+){3}(:\\d+)?");
 
-	private static final Pattern ZONE = Pattern.compile("Z|UTC|GMT|CET|CEST");
+	private static final Pattern TIME_ZONE = Pattern.compile("Z|UTC|GMT|CET|CEST");
 
-	private static final Set<String> CALENDAR = Set.of("Mon", "Tue", "Wed", "Thu", "Fri", "Sat", "Sun", "Jan", "Feb",
-			"Mar", "Apr", "May", "Jun", "Jul", "Aug", "Sep", "Oct", "Nov", "Dec");
+	private static final Set<String> DAY_AND_MONTH_NAMES = Set.of("Mon", "Tue", "Wed", "Thu", "Fri", "Sat", "Sun",
+			"Jan", "Feb", "Mar", "Apr", "May", "Jun", "Jul", "Aug", "Sep", "Oct", "Nov", "Dec");
 
 	private final ObjectReader reader = new ObjectMapper().reader();
 
 	private final String input;
 
-	private String lastStarted = "";
+	private String lastStartedHost = "";
 
-	private int usualWords;
+	private int prefixNameCount;
 
 	/**
 	 * Create a reader.
 	 * @param input name of the input
 	 */
-	LineReader(String input) {
+	LogLineParser(String input) {
 		this.input = input;
 	}
 
@@ -56,10 +56,10 @@
 	 * @param number its place among all lines
 	 * @return the decision, empty if there is none or it is cut
 	 */
-	Optional<LogLine> read(String text, long number) {
+	Optional<LogLine> parse(String text, long number) {
 		int brace = text.indexOf("{\"");
-		for (int i = 0; i < MOST_BRACES && brace >= 0; i++) {
-			JsonNode node = parse(text.substring(brace));
+		for (int i = 0; i < MAX_BRACES && brace >= 0; i++) {
+			JsonNode node = parseJson(text.substring(brace));
 			if (node != null && node.path(EVENT).isTextual()) {
 				return Optional
 					.of(new LogLine(source(text.substring(0, brace), node), number, node.path(EVENT).asText(), node));
@@ -69,7 +69,7 @@
 		return Optional.empty();
 	}
 
-	private JsonNode parse(String json) {
+	private JsonNode parseJson(String json) {
 		try {
 			return this.reader.readTree(json);
 		}
@@ -81,31 +81,31 @@
 
 	private String source(String prefix, JsonNode node) {
 		if ("ProcessStarted".equals(node.path(EVENT).asText())) {
-			this.lastStarted = node.path("host").asText("");
+			this.lastStartedHost = node.path("host").asText("");
 		}
 		List<String> words = new ArrayList<>();
 		for (String word : prefix.trim().split("\\s+")) {
-			if (isName(word)) {
+			if (canBeName(word)) {
 				words.add(word.endsWith(":") ? word.substring(0, word.length() - 1) : word);
 			}
 		}
 		if (!words.isEmpty()) {
 			// More of them are the rest of a line that was cut.
-			boolean isWhole = this.usualWords == 0 || words.size() <= this.usualWords;
-			this.usualWords = isWhole ? words.size() : this.usualWords;
-			return String.join(" ", words.subList(words.size() - this.usualWords, words.size()));
+			boolean isWhole = this.prefixNameCount == 0 || words.size() <= this.prefixNameCount;
+			this.prefixNameCount = isWhole ? words.size() : this.prefixNameCount;
+			return String.join(" ", words.subList(words.size() - this.prefixNameCount, words.size()));
 		}
-		if (this.usualWords > 0) {
-			return NOBODY;
+		if (this.prefixNameCount > 0) {
+			return UNKNOWN_SOURCE;
 		}
-		return this.lastStarted.isEmpty() ? this.input : this.lastStarted;
+		return this.lastStartedHost.isEmpty() ? this.input : this.lastStartedHost;
 	}
 
-	private static boolean isName(String word) {
-		if (word.isEmpty() || CALENDAR.contains(word) || ZONE.matcher(word).matches()) {
+	private static boolean canBeName(String word) {
+		if (word.isEmpty() || DAY_AND_MONTH_NAMES.contains(word) || TIME_ZONE.matcher(word).matches()) {
 			return false;
 		}
-		return Character.isLetter(word.charAt(0)) || ADDRESS.matcher(word).matches();
+		return Character.isLetter(word.charAt(0)) || IP_ADDRESS.matcher(word).matches();
 	}
 
 }
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/explain/Waiting.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/explain/PendingStepReport.java
@@ -13,22 +13,22 @@
  * What the last step waits for that the lines of an open job name. Stateless and
  * thread-safe.
  */
-final class Waiting {
+final class PendingStepReport {
 
-	private Waiting() {
+	private PendingStepReport() {
 	}
 
 	// A step whose tasks are named was placed, whether the lines of the starts are there
 	// or
 	// not.
-	private static NavigableSet<String> placed(List<LogLine> lines) {
-		return steps(lines, (line) -> line.has("task"));
+	private static NavigableSet<String> placedSteps(List<LogLine> lines) {
+		return steps(lines, (line) -> line.hasField("task"));
 	}
 
-	private static NavigableSet<String> asked(List<LogLine> lines) {
-		NavigableSet<String> asked = steps(lines, (line) -> line.is(JobDecision.EligibilityAnswered.class)
-				|| line.is(JobDecision.EligibilityFailed.class));
-		asked.removeAll(placed(lines));
+	private static NavigableSet<String> unplacedQueriedSteps(List<LogLine> lines) {
+		NavigableSet<String> asked = steps(lines, (line) -> line.isEvent(JobDecision.EligibilityAnswered.class)
+				|| line.isEvent(JobDecision.EligibilityFailed.class));
+		asked.removeAll(placedSteps(lines));
 		return asked;
 	}
 
@@ -41,20 +41,20 @@
 	 * @param lines the lines of a job
 	 * @return {@code true} if there is one
 	 */
-	static boolean isAsked(List<LogLine> lines) {
-		return !asked(lines).isEmpty();
+	static boolean hasUnplacedQueriedStep(List<LogLine> lines) {
+		return !unplacedQueriedSteps(lines).isEmpty();
 	}
 
 	static String text(List<LogLine> lines) {
-		NavigableSet<String> placed = placed(lines);
-		NavigableSet<String> asked = asked(lines);
+		NavigableSet<String> placed = placedSteps(lines);
+		NavigableSet<String> asked = unplacedQueriedSteps(lines);
 		if (asked.isEmpty()) {
 			return (placed.isEmpty() ? "no step was placed" : "no step after " + placed.last() + " was placed")
 					+ ", and no line tells that it was asked who may run the next one";
 		}
 		String step = asked.last();
-		List<LogLine> answers = of(lines, step, JobDecision.EligibilityAnswered.class);
-		List<LogLine> failed = of(lines, step, JobDecision.EligibilityFailed.class);
+		List<LogLine> answers = linesOfStep(lines, step, JobDecision.EligibilityAnswered.class);
+		List<LogLine> failed = linesOfStep(lines, step, JobDecision.EligibilityFailed.class);
 		if (answers.isEmpty()) {
 			return "step " + step + " was not placed: it could not be asked who may run it, " + failed.size()
 					+ " calls failed, the last by " + failed.get(failed.size() - 1).text("host") + ": "
@@ -67,8 +67,8 @@
 				+ failed.size() + " calls failed), so that it waited for room on those";
 	}
 
-	private static List<LogLine> of(List<LogLine> lines, String step, Class<?> decision) {
-		return lines.stream().filter((line) -> line.is(decision) && line.step().equals(step)).toList();
+	private static List<LogLine> linesOfStep(List<LogLine> lines, String step, Class<?> decision) {
+		return lines.stream().filter((line) -> line.isEvent(decision) && line.step().equals(step)).toList();
 	}
 
 }
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/explain/Lateness.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/explain/TimeBreakdown.java
@@ -12,7 +12,7 @@
  * Where the time of a job that has ended went, by the spans that its lines tell. Each
  * span was measured by one process; none is a difference between two hosts' times of day.
  */
-final class Lateness {
+final class TimeBreakdown {
 
 	private final List<LogLine> lines;
 
@@ -23,7 +23,7 @@
 	 * @param lines the lines of the job, causes first
 	 * @param end the end of the job
 	 */
-	Lateness(List<LogLine> lines, LogLine end) {
+	TimeBreakdown(List<LogLine> lines, LogLine end) {
 		this.lines = lines;
 		this.end = end;
 	}
@@ -32,7 +32,7 @@
 		long late = this.end.value("lateMillis");
 		String state = this.end.text("state") + " after " + this.end.value("ageMillis") + " ms, "
 				+ ((late > 0) ? late + " ms late" : -late + " ms in time");
-		Map<String, Long> spans = spans();
+		Map<String, Long> spans = durations();
 		if (spans.isEmpty()) {
 			return state;
 		}
@@ -42,10 +42,10 @@
 					.stream()
 					.map((span) -> span.getValue() + " ms " + span.getKey())
 					.collect(Collectors.joining(", "))
-				+ "; the most of it " + most + repeats();
+				+ "; the most of it " + most + longestRunAndRepeatedStarts();
 	}
 
-	private Map<String, Long> spans() {
+	private Map<String, Long> durations() {
 		Map<String, Long> spans = new LinkedHashMap<>();
 		long learnt = all(JobDecision.JobLearnt.class).stream()
 			.mapToLong((line) -> line.value("ageMillis"))
@@ -59,8 +59,8 @@
 		}
 		long first = placed.value("waitedMillis");
 		long wait = Math.max(0, first - Math.max(0, learnt));
-		long queued = Math.min(wait, asked(placed, "queuedMillis"));
-		long asked = Math.min(wait - queued, asked(placed, "tookMillis"));
+		long queued = Math.min(wait, sumOfEligibilityField(placed, "queuedMillis"));
+		long asked = Math.min(wait - queued, sumOfEligibilityField(placed, "tookMillis"));
 		if (learnt >= 0) {
 			spans.put("until an owner learnt of it", learnt);
 		}
@@ -73,14 +73,14 @@
 		return spans;
 	}
 
-	private long asked(LogLine placed, String field) {
+	private long sumOfEligibilityField(LogLine placed, String field) {
 		return all(JobDecision.EligibilityAnswered.class).stream()
 			.filter((line) -> line.step().equals(placed.step()) && line.number() < placed.number())
 			.mapToLong((line) -> line.value(field))
 			.sum();
 	}
 
-	private String repeats() {
+	private String longestRunAndRepeatedStarts() {
 		long longest = all(JobDecision.TaskEnded.class).stream()
 			.mapToLong((line) -> line.value("ranMillis"))
 			.max()
@@ -106,7 +106,7 @@
 	}
 
 	private List<LogLine> all(Class<?> decision) {
-		return this.lines.stream().filter((line) -> line.is(decision)).toList();
+		return this.lines.stream().filter((line) -> line.isEvent(decision)).toList();
 	}
 
 }
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/explain/StoryText.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/explain/TimelineFormatter.java
@@ -13,42 +13,42 @@
  * Writes ordered lines as text. Alike ones are folded into one, with the range of each of
  * their inputs, until there are a dozen. Stateless and thread-safe.
  */
-final class StoryText {
+final class TimelineFormatter {
 
 	/** Lines that a story should fit into. */
-	private static final int A_DOZEN = 12;
+	private static final int MAX_CONDENSED_LINES = 12;
 
 	/** Values of a folded field that are named. */
-	private static final int NAMED = 2;
+	private static final int MAX_LISTED_VALUES = 2;
 
-	private static final Set<String> UNTOLD = Set.of("at", "event", "job");
+	private static final Set<String> OMITTED_FIELDS = Set.of("at", "event", "job");
 
-	private static final List<String> KINDS = List.of("outcome", "end", "state", "reason", "dependency");
+	private static final List<String> GROUPING_FIELDS = List.of("outcome", "end", "state", "reason", "dependency");
 
-	private StoryText() {
+	private TimelineFormatter() {
 	}
 
-	static List<String> whole(List<Told> lines) {
-		return lines.stream().map((told) -> text(List.of(told.line()))).toList();
+	static List<String> formatAll(List<EpochLine> lines) {
+		return lines.stream().map((told) -> formatGroup(List.of(told.line()))).toList();
 	}
 
-	static List<String> folded(List<Told> lines) {
+	static List<String> formatCondensed(List<EpochLine> lines) {
 		List<String> text = List.of();
-		for (Function<Told, String> likeness : likenesses()) {
+		for (Function<EpochLine, String> likeness : groupings()) {
 			Map<String, List<LogLine>> alike = new LinkedHashMap<>();
 			lines.forEach(
 					(told) -> alike.computeIfAbsent(likeness.apply(told), (key) -> new ArrayList<>()).add(told.line()));
-			text = alike.values().stream().map(StoryText::text).toList();
-			if (text.size() <= A_DOZEN) {
+			text = alike.values().stream().map(TimelineFormatter::formatGroup).toList();
+			if (text.size() <= MAX_CONDENSED_LINES) {
 				return text;
 			}
 		}
 		return text;
 	}
 
-	private static List<Function<Told, String>> likenesses() {
-		Function<Told, String> byKind = (told) -> told.line().event() + '|' + kind(told.line());
-		Function<Told, String> byEpoch = (told) -> byKind.apply(told) + '|' + told.epoch();
+	private static List<Function<EpochLine, String>> groupings() {
+		Function<EpochLine, String> byKind = (told) -> told.line().event() + '|' + kind(told.line());
+		Function<EpochLine, String> byEpoch = (told) -> byKind.apply(told) + '|' + told.epoch();
 		return List.of(
 				(told) -> byEpoch.apply(told) + '|' + told.line().step() + '|' + told.line().text("attempt") + '|'
 						+ told.line().source(),
@@ -57,46 +57,46 @@
 	}
 
 	private static String kind(LogLine line) {
-		return String.join("|", KINDS.stream().map(line::text).toList());
+		return String.join("|", GROUPING_FIELDS.stream().map(line::text).toList());
 	}
 
-	private static String text(List<LogLine> alike) {
+	private static String formatGroup(List<LogLine> alike) {
 		StringBuilder text = new StringBuilder();
-		text.append(named(alike.stream().map(LogLine::source).toList())).append(": ").append(alike.get(0).event());
+		text.append(abbreviate(alike.stream().map(LogLine::source).toList())).append(": ").append(alike.get(0).event());
 		if (alike.size() > 1) {
 			text.append(" (").append(alike.size()).append(" times)");
 		}
 		Set<String> names = new LinkedHashSet<>();
 		alike.forEach((line) -> line.fields().fieldNames().forEachRemaining(names::add));
-		names.removeAll(UNTOLD);
+		names.removeAll(OMITTED_FIELDS);
 		for (String name : names) {
-			text.append(' ').append(name).append('=').append(values(alike, name));
+			text.append(' ').append(name).append('=').append(formatValues(alike, name));
 		}
 		return text.toString();
 	}
 
-	private static String values(List<LogLine> alike, String name) {
-		List<LogLine> having = alike.stream().filter((line) -> line.has(name)).toList();
+	private static String formatValues(List<LogLine> alike, String name) {
+		List<LogLine> having = alike.stream().filter((line) -> line.hasField(name)).toList();
 		if (having.stream().allMatch((line) -> line.fields().get(name).isNumber())) {
 			long least = having.stream().mapToLong((line) -> line.value(name)).min().orElse(0);
 			long most = having.stream().mapToLong((line) -> line.value(name)).max().orElse(0);
 			return (least == most) ? Long.toString(least) : least + ".." + most;
 		}
-		return named(having.stream().map((line) -> line.text(name)).map(StoryText::quoted).toList());
+		return abbreviate(having.stream().map((line) -> line.text(name)).map(TimelineFormatter::quoted).toList());
 	}
 
 	private static String quoted(String value) {
 		return (value.isEmpty() || value.indexOf(' ') >= 0) ? '"' + value + '"' : value;
 	}
 
-	private static String named(List<String> values) {
+	private static String abbreviate(List<String> values) {
 		Set<String> different = new LinkedHashSet<>(values);
 		Iterator<String> each = different.iterator();
 		StringBuilder text = new StringBuilder(each.next());
-		for (int i = 1; i < NAMED && each.hasNext(); i++) {
+		for (int i = 1; i < MAX_LISTED_VALUES && each.hasNext(); i++) {
 			text.append(',').append(each.next());
 		}
-		int rest = different.size() - NAMED;
+		int rest = different.size() - MAX_LISTED_VALUES;
 		return (rest > 0) ? text.append(" and ").append(rest).append(" more").toString() : text.toString();
 	}
 
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/membership/OwnershipKeeper.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/membership/OwnershipKeeper.java
@@ -139,7 +139,7 @@
 			.filter(this.self::equals)
 			.isPresent();
 		if (lapsed && mine) {
-			this.table.commit(List.of(new ConditionalWrite(row.key(), Json.write(record.ended()), row.version())));
+			this.table.commit(List.of(new ConditionalWrite(row.key(), Json.write(record.asEnded()), row.version())));
 		}
 	}
 
@@ -170,7 +170,7 @@
 			this.listener.owner(key, owned, owned.session().equals(this.self.session()));
 			OwnershipPlan.successor(key, domain, owned, live)
 				.filter((successor) -> successor.session().equals(this.self.session()))
-				.ifPresent((successor) -> claims.add(new Claim(key, owned.takenBy(this.self.session()),
+				.ifPresent((successor) -> claims.add(new Claim(key, owned.transferredTo(this.self.session()),
 						row.map(Row::version).orElse(ConditionalWrite.ABSENT))));
 		});
 		return claims;
@@ -203,7 +203,7 @@
 		return this.table.scan(TableKeys.SESSIONS, "", MAXIMUM_ROWS)
 			.thenCompose((rows) -> this.table.commit(rows.stream()
 				.filter((row) -> Json.read(row.value(), SessionRecord.class).equals(this.self))
-				.map((row) -> new ConditionalWrite(row.key(), Json.write(this.self.ended()), row.version()))
+				.map((row) -> new ConditionalWrite(row.key(), Json.write(this.self.asEnded()), row.version()))
 				.toList()))
 			.handle((result, failure) -> null);
 	}
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/placement/PackingPolicy.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/placement/PackingPolicy.java
@@ -19,7 +19,7 @@
 	public Optional<Worker> choose(JobId job, Resources size, Collection<Worker> workers) {
 		Worker best = null;
 		for (Worker worker : workers) {
-			if (worker.accepts(size) && (best == null || isTighterFit(worker, best, size))) {
+			if (worker.canAccept(size) && (best == null || isTighterFit(worker, best, size))) {
 				best = worker;
 			}
 		}
@@ -34,13 +34,13 @@
 	 * @return {@code true} if the candidate is preferred
 	 */
 	static boolean isTighterFit(Worker candidate, Worker current, Resources size) {
-		boolean candidateStrands = candidate.free().wouldStrandAccelerators(size, candidate.capacity());
-		boolean currentStrands = current.free().wouldStrandAccelerators(size, current.capacity());
+		boolean candidateStrands = candidate.freeCapacity().wouldStrandAccelerators(size, candidate.capacity());
+		boolean currentStrands = current.freeCapacity().wouldStrandAccelerators(size, current.capacity());
 		if (candidateStrands != currentStrands) {
 			return currentStrands;
 		}
-		int byShare = Double.compare(candidate.free().smallestShareOf(candidate.capacity()),
-				current.free().smallestShareOf(current.capacity()));
+		int byShare = Double.compare(candidate.freeCapacity().smallestShareOf(candidate.capacity()),
+				current.freeCapacity().smallestShareOf(current.capacity()));
 		return (byShare != 0) ? byShare < 0 : candidate.id().compareTo(current.id()) < 0;
 	}
 
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/placement/SpreadPolicy.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/placement/SpreadPolicy.java
@@ -17,7 +17,7 @@
 	public Optional<Worker> choose(JobId job, Resources size, Collection<Worker> workers) {
 		Worker best = null;
 		for (Worker worker : workers) {
-			if (worker.accepts(size) && (best == null || isBetter(worker, best, job, size))) {
+			if (worker.canAccept(size) && (best == null || isBetter(worker, best, job, size))) {
 				best = worker;
 			}
 		}
@@ -25,7 +25,7 @@
 	}
 
 	private static boolean isBetter(Worker candidate, Worker current, JobId job, Resources size) {
-		int byReplicas = Integer.compare(candidate.attemptsOf(job), current.attemptsOf(job));
+		int byReplicas = Integer.compare(candidate.attemptCount(job), current.attemptCount(job));
 		return (byReplicas != 0) ? byReplicas < 0 : PackingPolicy.isTighterFit(candidate, current, size);
 	}
 
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/EligibilityTracker.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/EligibilityTracker.java
@@ -218,13 +218,13 @@
 		StepKey step = request.step();
 		if (failure != null) {
 			known.recordFailure(now + TimeUnit.MILLISECONDS.toNanos(RETRY_DELAY_MILLIS));
-			this.log.write(new JobDecision.EligibilityFailed(step.job(), step.local(), sent.host(),
+			this.log.write(new JobDecision.EligibilityFailed(step.job(), step.localName(), sent.host(),
 					String.valueOf(failure.getMessage())));
 			return;
 		}
 		long validNanos = TimeUnit.MILLISECONDS.toNanos(request.times().validMillis() - TICKET_MARGIN_MILLIS);
 		known.recordReply(request.workers(), tickets, now + validNanos);
-		this.log.write(new JobDecision.EligibilityAnswered(step.job(), step.local(), sent.host(),
+		this.log.write(new JobDecision.EligibilityAnswered(step.job(), step.localName(), sent.host(),
 				request.workers().size(), tickets.size(), request.newlyQueried(), sent.rank(),
 				TimeUnit.NANOSECONDS.toMillis(sent.sentNanos() - request.queuedNanos()),
 				TimeUnit.NANOSECONDS.toMillis(now - sent.sentNanos())));
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/GangAwareBestFit.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/GangAwareBestFit.java
@@ -29,7 +29,7 @@
 	}
 
 	private static double remainingShare(PoolWorker worker, Resources size) {
-		return worker.free().minus(size).largestShareOf(worker.info().capacity());
+		return worker.free().minus(size).dominantShareOf(worker.info().capacity());
 	}
 
 }
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/GangReservations.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/GangReservations.java
@@ -129,7 +129,7 @@
 
 		static Candidate of(PoolWorker worker, Resources size) {
 			return new Candidate(worker, worker.free().timesCovering(size),
-					worker.free().largestShareOf(worker.info().capacity()));
+					worker.free().dominantShareOf(worker.info().capacity()));
 		}
 
 	}
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/JobTableReplica.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/JobTableReplica.java
@@ -208,7 +208,7 @@
 			return;
 		}
 		Optional<JobProgress> saved = Optional.ofNullable(this.progress.get(id)).map(StoredProgress::progress);
-		if (saved.filter((progress) -> !progress.fits(stored.submission())).isPresent()) {
+		if (saved.filter((progress) -> !progress.matches(stored.submission())).isPresent()) {
 			this.unreadableProgress.add(id);
 			this.unreadable.note(new TableRow(JobTables.PROGRESS, JobTables.POOL_PARTITION, id, "", 0, false),
 					"is not the progress of this job");
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/PoolStateWriter.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/PoolStateWriter.java
@@ -213,7 +213,7 @@
 		List<PartitionWrite.Put> puts = new ArrayList<>(write.puts());
 		while (states.size() < MAX_JOBS_PER_WRITE && bytes < MAX_PROGRESS_BYTES_PER_WRITE && this.jobs.hasDirty()) {
 			SubmittedJob job = this.jobs.takeDirty(1).get(0);
-			JobProgress progress = job.save();
+			JobProgress progress = job.toProgress();
 			String value = Json.write(progress);
 			bytes += value.length();
 			states.put(job, progress.state());
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/QueueEntry.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/QueueEntry.java
@@ -21,7 +21,7 @@
 		var submission = step.job().submission();
 		int occurrence = step.key().occurrence();
 		return new QueueEntry(step, submission.policy().priority(), submission.dueMillis(occurrence),
-				submission.deadlineMillis(occurrence), submission.chainMillis(step.key().step()));
+				submission.deadlineMillis(occurrence), submission.criticalPathMillis(step.key().step()));
 	}
 
 	long latestStartMillis() {
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/RunController.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/RunController.java
@@ -14,7 +14,7 @@
 
 import org.monsoonrelay.logic.events.DecisionLog;
 import org.monsoonrelay.logic.events.JobDecision;
-import org.monsoonrelay.logic.events.Measure;
+import org.monsoonrelay.logic.events.Metric;
 import org.monsoonrelay.logic.events.PoolDecision;
 import org.monsoonrelay.logic.platform.OnThread;
 import org.monsoonrelay.model.submission.SubmittedJob;
@@ -119,7 +119,8 @@
 		long sentNanos = this.clock.nanos();
 		if (worker.processedSequence() <= worker.durableSequence()) {
 			Optional.ofNullable(this.terminationsProcessedNanos.remove(worker.id()))
-				.ifPresent((processedNanos) -> this.log.measured(Measure.ACKNOWLEDGEMENT, millisSince(processedNanos)));
+				.ifPresent((processedNanos) -> this.log.recordMetric(Metric.ACKNOWLEDGEMENT_LATENCY,
+						millisSince(processedNanos)));
 		}
 		boolean extendLease = worker.isReachable() && this.ownerLease.canGrantLeases();
 		OptionalLong leaseEndMillis = extendLease
@@ -261,7 +262,7 @@
 		}
 		if (outcome.kind() == RunRequestOutcome.Kind.DONE) {
 			worker.lease().updateClock(outcome.clockMillis(), this.clock.nanos());
-			this.log.measured(Measure.START, millisSince(run.requestedNanos()));
+			this.log.recordMetric(Metric.START_LATENCY, millisSince(run.requestedNanos()));
 			confirm(run);
 			return;
 		}
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/RunTerminationHandler.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/RunTerminationHandler.java
@@ -7,7 +7,7 @@
 
 import org.monsoonrelay.logic.events.DecisionLog;
 import org.monsoonrelay.logic.events.JobDecision;
-import org.monsoonrelay.logic.events.Measure;
+import org.monsoonrelay.logic.events.Metric;
 import org.monsoonrelay.logic.events.PoolDecision;
 import org.monsoonrelay.model.capacity.Resources;
 import org.monsoonrelay.model.submission.StepKey;
@@ -93,7 +93,7 @@
 
 	// For an adopted run, only the time since its adoption is known.
 	private void recordWaste(Run run) {
-		this.log.measured(Measure.WASTE, ageMillis(run) * run.size().processors());
+		this.log.recordMetric(Metric.WASTED_PROCESSOR_TIME, ageMillis(run) * run.size().processors());
 	}
 
 	private static boolean hasTask(SubmittedJob job, TaskKey task) {
@@ -106,7 +106,7 @@
 		StepKey key = termination.task().stepKey();
 		int index = termination.task().index();
 		StepProgress progress = job.progress(key);
-		progress.noteAttempt(termination.attempt());
+		progress.recordAttempt(termination.attempt());
 		this.jobs.step(key).ifPresent((step) -> step.recordAttempt(index, termination.attempt()));
 		switch (termination.reason()) {
 			case DONE -> {
@@ -165,7 +165,7 @@
 
 	private void updateJobState(SubmittedJob job, StepKey key, boolean isSuccess) {
 		boolean wasEnded = job.isEnded();
-		job.settle(key);
+		job.updateState(key);
 		this.jobs.markDirty(job);
 		if (job.isEnded() && !wasEnded) {
 			handleJobEnd(job);
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/queue/AttemptReconciler.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/queue/AttemptReconciler.java
@@ -154,7 +154,7 @@
 	 */
 	void handleRunning(Job job, AttemptEvent event) {
 		AttemptId attempt = event.attempt();
-		job.running(attempt, event.worker());
+		job.markRunning(attempt, event.worker());
 		if (isCurrent(job, attempt)) {
 			stopReplaced(job, (old) -> old.task() == attempt.task() && old.attempt() < attempt.attempt());
 		}
@@ -199,7 +199,8 @@
 		markUnconfirmedOnChangedRacks(jobs);
 		int sent = 0;
 		for (Job job : jobs) {
-			if (sent < MAXIMUM_MESSAGES_PER_ROUND && job.counts().keySet().stream().anyMatch(TaskState::mayRun)) {
+			if (sent < MAXIMUM_MESSAGES_PER_ROUND
+					&& job.stateCounts().keySet().stream().anyMatch(TaskState::mayBeRunning)) {
 				sent += reconcileJob(job, onGone);
 			}
 		}
@@ -220,7 +221,7 @@
 		}
 		for (Job job : jobs) {
 			for (TaskRecord task : job.tasks()) {
-				if (task.state().mayRun() && changedRacks.contains(rackOf(task.worker()))) {
+				if (task.state().mayBeRunning() && changedRacks.contains(rackOf(task.worker()))) {
 					this.unconfirmed.add(new AttemptId(job.id(), task.task(), task.attempt()));
 				}
 			}
@@ -240,7 +241,7 @@
 			AttemptId attempt = new AttemptId(job.id(), task.task(), task.attempt());
 			boolean isOnLeavingWorker = task.state() == TaskState.RUNNING
 					&& this.leavingWorkers.contains(task.worker());
-			if (isOnLeavingWorker && job.lapsed(attempt)) {
+			if (isOnLeavingWorker && job.markLeaseExpired(attempt)) {
 				this.replacedAttempts.put(attempt, new WorkerId(task.worker()));
 			}
 		}
@@ -251,11 +252,11 @@
 		int sent = 0;
 		for (TaskRecord task : job.tasks()) {
 			AttemptId attempt = new AttemptId(job.id(), task.task(), task.attempt());
-			if (task.state().mayRun() && isWorkerRemoved(job, task)) {
+			if (task.state().mayBeRunning() && isWorkerRemoved(job, task)) {
 				onGone.accept(job, attempt);
 			}
 			else if (task.state() == TaskState.IN_DOUBT
-					|| (task.state().mayRun() && this.unconfirmed.contains(attempt))) {
+					|| (task.state().mayBeRunning() && this.unconfirmed.contains(attempt))) {
 				this.rackOwners.resolve(rackOf(task.worker()), attempt, new WorkerId(task.worker()), task.incarnation(),
 						job.workload().team());
 				sent++;
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/queue/GangReservation.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/queue/GangReservation.java
@@ -43,7 +43,7 @@
 
 	private void handleReply(String rack, List<Reservation> reservations) {
 		this.reservationsByRack.put(rack, reservations);
-		reservations.forEach((reservation) -> this.gang.held(reservation.attempt()));
+		reservations.forEach((reservation) -> this.gang.markHeld(reservation.attempt()));
 		if (this.reservationsByRack.size() < this.attemptsByRack.size()) {
 			return;
 		}
@@ -57,8 +57,8 @@
 	 * @return {@code true} if all attempts may start
 	 */
 	private boolean tryStart() {
-		if (this.gang.isGivenUp() || this.gang.startOrGiveUp(this.placer.now())) {
-			return !this.gang.isGivenUp();
+		if (this.gang.isAbandoned() || this.gang.startOrAbandon(this.placer.now())) {
+			return !this.gang.isAbandoned();
 		}
 		this.placer.backOffGang(this.job, this.attemptsByRack);
 		return false;
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/queue/Placer.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/queue/Placer.java
@@ -129,7 +129,7 @@
 	}
 
 	private AttemptId openAttempt(Job job, int task, String rack) {
-		AttemptId attempt = job.open(task);
+		AttemptId attempt = job.openAttempt(task);
 		this.rackByAttempt.computeIfAbsent(job.id(), (id) -> new HashMap<>()).put(attempt, rack);
 		return attempt;
 	}
@@ -147,7 +147,7 @@
 	private void reserve(Job job, String rack, List<AttemptId> attempts) {
 		boolean startAtOnce = !job.workload().once();
 		if (startAtOnce) {
-			attempts.forEach(job::starting);
+			attempts.forEach(job::markStarting);
 		}
 		this.rackOwners.reserve(request(job, rack, attempts, startAtOnce)).whenCompleteAsync((reserved, failure) -> {
 			if (failure != null) {
@@ -156,8 +156,8 @@
 			}
 			List<AttemptId> refused = new ArrayList<>(attempts);
 			reserved.forEach((reservation) -> refused.remove(reservation.attempt()));
-			refused.forEach(job::gone);
-			reserved.forEach((reservation) -> job.reservedOn(reservation.attempt(), reservation.worker(),
+			refused.forEach(job::markNotRunning);
+			reserved.forEach((reservation) -> job.recordReservation(reservation.attempt(), reservation.worker(),
 					reservation.incarnation()));
 			recordReply(rack, job.workload().size(), refused.size());
 			if (!startAtOnce) {
@@ -191,7 +191,7 @@
 	private void stopAll(Job job, String rack, List<AttemptId> attempts) {
 		for (AttemptId attempt : attempts) {
 			this.rackOwners.stop(rack, attempt, new WorkerId(""), job.workload().team());
-			job.gone(attempt);
+			job.markNotRunning(attempt);
 		}
 	}
 
@@ -247,7 +247,7 @@
 		attemptsByRack.forEach((rack, attempts) -> {
 			this.rackOwners.release(rack, attempts);
 			attempts.forEach((attempt) -> {
-				job.gone(attempt);
+				job.markNotRunning(attempt);
 				this.racks.undoChoice(rack, job.workload().size());
 			});
 		});
@@ -275,8 +275,8 @@
 		}
 		List<AttemptId> startable = new ArrayList<>();
 		reservedByRack.values().forEach((reservations) -> reservations.forEach((reservation) -> {
-			if (job.reservedOn(reservation.attempt(), reservation.worker(), reservation.incarnation())
-					&& job.starting(reservation.attempt())) {
+			if (job.recordReservation(reservation.attempt(), reservation.worker(), reservation.incarnation())
+					&& job.markStarting(reservation.attempt())) {
 				startable.add(reservation.attempt());
 			}
 		}));
@@ -304,7 +304,7 @@
 		reservedByRack.forEach((rack, reservations) -> {
 			List<AttemptId> attempts = reservations.stream().map(Reservation::attempt).toList();
 			this.rackOwners.release(rack, attempts);
-			attempts.forEach(job::gone);
+			attempts.forEach(job::markNotRunning);
 		});
 	}
 
@@ -328,10 +328,10 @@
 
 	private void handleStartReply(Job job, List<StartTask> startRequests, List<AttemptId> refused, Throwable failure) {
 		if (failure != null) {
-			startRequests.forEach((request) -> job.lapsed(request.attempt()));
+			startRequests.forEach((request) -> job.markLeaseExpired(request.attempt()));
 			return;
 		}
-		refused.forEach(job::gone);
+		refused.forEach(job::markNotRunning);
 	}
 
 	/**
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/queue/QueueManager.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/queue/QueueManager.java
@@ -149,7 +149,7 @@
 		Workload workload = this.declaredWorkloads.get(job.id());
 		Map<AttemptId, WorkerId> workers = workersByAttempt(job);
 		if (workload != null && this.inForce.state().permits(job.id())) {
-			job.redeclare(workload).forEach((attempt) -> stop(job, attempt, workers));
+			job.updateDeclaration(workload).forEach((attempt) -> stop(job, attempt, workers));
 			return;
 		}
 		if (job.isFinal()) {
@@ -214,7 +214,7 @@
 
 	private void add(TeamQueue queue, Workload workload, JobRecord record) {
 		Job job = new Job(workload, record, queue.epoch(), this.clock.instant());
-		Optional.ofNullable(this.supersededJobs.remove(job.id())).ifPresent(job::succeed);
+		Optional.ofNullable(this.supersededJobs.remove(job.id())).ifPresent(job::continueAttemptNumbersOf);
 		queue.jobs().put(job.id(), job);
 		applyDeclaration(queue, job);
 	}
@@ -272,7 +272,7 @@
 		this.queues.keySet().forEach(this::loadMissing);
 		List<Job> jobs = this.queues.values().stream().flatMap((queue) -> queue.jobs().values().stream()).toList();
 		this.reconciler.reconcile(jobs, (job, attempt) -> {
-			if (job.gone(attempt)) {
+			if (job.markNotRunning(attempt)) {
 				this.store.enqueue(job, () -> {
 				});
 			}
@@ -325,17 +325,17 @@
 				acknowledge.run();
 			}
 			case LAPSED -> {
-				job.lapsed(attempt);
+				job.markLeaseExpired(attempt);
 				acknowledge.run();
 			}
-			case FINISHED -> acknowledgeWhenDurable(job, job.finished(attempt), acknowledge);
-			case FAILED -> acknowledgeWhenDurable(job, job.failed(attempt, this.clock.instant()), acknowledge);
-			case GONE -> acknowledgeWhenDurable(job, job.gone(attempt), acknowledge);
+			case FINISHED -> acknowledgeWhenDurable(job, job.markFinished(attempt), acknowledge);
+			case FAILED -> acknowledgeWhenDurable(job, job.markFailed(attempt, this.clock.instant()), acknowledge);
+			case GONE -> acknowledgeWhenDurable(job, job.markNotRunning(attempt), acknowledge);
 		}
 	}
 
 	private void acknowledgeWhenDurable(Job job, boolean changed, Runnable acknowledge) {
-		job.noteFinish(this.clock.instant());
+		job.recordFinish(this.clock.instant());
 		if (changed || this.store.isPending(job.id())) {
 			this.store.enqueue(job, acknowledge);
 		}
@@ -353,7 +353,7 @@
 			.stream()
 			.flatMap((queue) -> queue.jobs().values().stream())
 			.map((job) -> new JobStatus(job.id(), job.workload().kind(), job.workload().team(), job.workload().tasks(),
-					job.counts(), this.scheduler.waitReason(job), job.tasks(), job.finishedAt().orElse(null)))
+					job.stateCounts(), this.scheduler.waitReason(job), job.tasks(), job.finishedAt().orElse(null)))
 			.toList();
 	}
 
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/queue/RackDirectory.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/queue/RackDirectory.java
@@ -45,7 +45,7 @@
 
 	private final UniformRandomProvider random;
 
-	private RackPolicy policy = new WeightedRackPolicy(PolicyWeights.EVEN);
+	private RackPolicy policy = new WeightedRackPolicy(PolicyWeights.EQUAL);
 
 	private final Map<Resources, Integer> penaltyExponents = new HashMap<>();
 
@@ -116,7 +116,7 @@
 			return true;
 		}
 		return this.listedWorkerSizes.stream().anyMatch((worker) -> worker.covers(size))
-				&& this.listedCapacity.count(size) >= taskCount;
+				&& this.listedCapacity.fitCount(size) >= taskCount;
 	}
 
 	/**
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/queue/TeamBacklog.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/queue/TeamBacklog.java
@@ -6,7 +6,7 @@
 import java.util.Optional;
 
 import org.monsoonrelay.model.job.Job;
-import org.monsoonrelay.model.workload.QuotaLedger;
+import org.monsoonrelay.model.workload.QuotaUsage;
 
 /**
  * The jobs of one team that are left to place in a scheduling round, with the quota
@@ -16,11 +16,11 @@
 
 	private final TeamQueue queue;
 
-	private final QuotaLedger ledger;
+	private final QuotaUsage ledger;
 
 	private final Deque<Job> jobs = new ArrayDeque<>();
 
-	TeamBacklog(TeamQueue queue, QuotaLedger ledger, Collection<Job> jobs) {
+	TeamBacklog(TeamQueue queue, QuotaUsage ledger, Collection<Job> jobs) {
 		this.queue = queue;
 		this.ledger = ledger;
 		this.jobs.addAll(jobs);
@@ -30,7 +30,7 @@
 		return this.queue;
 	}
 
-	QuotaLedger ledger() {
+	QuotaUsage ledger() {
 		return this.ledger;
 	}
 
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/queue/TeamScheduler.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/queue/TeamScheduler.java
@@ -17,7 +17,7 @@
 import org.monsoonrelay.model.job.Job;
 import org.monsoonrelay.model.job.JobId;
 import org.monsoonrelay.model.job.TaskState;
-import org.monsoonrelay.model.workload.QuotaLedger;
+import org.monsoonrelay.model.workload.QuotaUsage;
 import org.monsoonrelay.model.workload.Team;
 import org.monsoonrelay.model.workload.Workload;
 import org.monsoonrelay.model.workload.WorkloadKind;
@@ -77,7 +77,7 @@
 		List<TeamBacklog> others = new ArrayList<>();
 		queues.forEach((name, queue) -> {
 			Team team = inForce.text().team(name).orElse(new Team(name, Resources.NONE, 1));
-			QuotaLedger ledger = new QuotaLedger(team, queue.usedResources());
+			QuotaUsage ledger = new QuotaUsage(team, queue.usedResources());
 			List<Job> jobs = queue.unfinishedJobsInPlacementOrder();
 			urgent.add(new TeamBacklog(queue, ledger, filter(jobs, (job) -> job.workload().urgent())));
 			others.add(new TeamBacklog(queue, ledger, filter(jobs, Predicate.not((job) -> job.workload().urgent()))));
@@ -137,10 +137,10 @@
 			}
 			Workload workload = job.workload();
 			int maximumStarts = (workload.kind() == WorkloadKind.GANG) ? workload.tasks() : MAXIMUM_STARTS_PER_TURN;
-			List<Integer> placeable = job.placeable(TeamScheduler.this.clock.instant(), maximumStarts);
-			int allowed = backlog.ledger().allows(workload.size(), placeable.size());
+			List<Integer> placeable = job.placeableTasks(TeamScheduler.this.clock.instant(), maximumStarts);
+			int allowed = backlog.ledger().allowedTasks(workload.size(), placeable.size());
 			int placed = TeamScheduler.this.placer.place(job, placeable.subList(0, allowed));
-			backlog.ledger().take(workload.size(), placed);
+			backlog.ledger().allocate(workload.size(), placed);
 			this.remainingStarts -= placed;
 			TeamScheduler.this.waitReasons.put(job.id(), waitReasonAfter(job, placeable.size(), allowed, placed));
 			if (job.workload().urgent() && placed < allowed) {
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/rack/Rack.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/rack/Rack.java
@@ -59,8 +59,8 @@
 		List<Worker> usable = usableWorkers(health);
 		for (Worker worker : usable) {
 			capacity = capacity.plus(worker.capacity());
-			free = free.plus(worker.free());
-			largestFreeProcessors = Math.max(largestFreeProcessors, worker.free().processors());
+			free = free.plus(worker.freeCapacity());
+			largestFreeProcessors = Math.max(largestFreeProcessors, worker.freeCapacity().processors());
 		}
 		String domain = this.workers.values()
 			.stream()
@@ -69,7 +69,7 @@
 			.orElse("");
 		boolean allReportedOrUnresponsive = this.workers.values()
 			.stream()
-			.allMatch((tracked) -> tracked.worker().isReported() || tracked.isUnresponsive());
+			.allMatch((tracked) -> tracked.worker().hasReported() || tracked.isUnresponsive());
 		return new RackSummary(this.name, domain, this.epoch, usable.size(), capacity, free, largestFreeProcessors,
 				allReportedOrUnresponsive);
 	}
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/rack/RackManager.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/rack/RackManager.java
@@ -224,7 +224,7 @@
 			this.attemptEvents.publish(tracked.createEvent(attempt, AttemptEventKind.LAPSED), tracked);
 			return;
 		}
-		if (!tracked.worker().isReported()) {
+		if (!tracked.worker().hasReported()) {
 			return;
 		}
 		if (tracked.worker().attempts().contains(attempt)) {
@@ -256,7 +256,7 @@
 	public void sendHeartbeats() {
 		for (Rack rack : this.racks.values()) {
 			for (TrackedWorker tracked : rack.workers()) {
-				tracked.worker().lapse(this.clock.instant()).forEach(this.attemptEvents::remove);
+				tracked.worker().expireReservations(this.clock.instant()).forEach(this.attemptEvents::remove);
 				tracked.checkLease(this.monotonicNanos.getAsLong(), this.leaseDuration.toNanos())
 					.forEach((event) -> this.attemptEvents.publish(event, tracked));
 				sendCommand(rack, tracked);
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/rack/TrackedWorker.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/rack/TrackedWorker.java
@@ -94,7 +94,7 @@
 				running.put(reported.attempt(), reported.size());
 			}
 		}
-		List<AttemptId> lost = this.worker.report(report.incarnation(), running);
+		List<AttemptId> lost = this.worker.applyReport(report.incarnation(), running);
 		for (AttemptId attempt : lost) {
 			this.pendingStarts.remove(attempt);
 			this.pendingStops.remove(attempt);
@@ -181,7 +181,7 @@
 	}
 
 	boolean isUsable() {
-		return !this.unresponsive && this.worker.isReported() && !this.worker.isLeaving();
+		return !this.unresponsive && this.worker.hasReported() && !this.worker.isLeaving();
 	}
 
 	Worker worker() {
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/rack/WorkerHealth.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/rack/WorkerHealth.java
@@ -84,7 +84,7 @@
 	Optional<Worker> chooseWorker(List<Worker> usable, ReservationRequest request, JobId job) {
 		if (request.startAtOnce() && request.kind() == WorkloadKind.BATCH) {
 			Optional<Worker> probeTarget = usable.stream()
-				.filter((worker) -> isProbeDue(worker.id()) && worker.accepts(request.size()))
+				.filter((worker) -> isProbeDue(worker.id()) && worker.canAccept(request.size()))
 				.findFirst();
 			if (probeTarget.isPresent()) {
 				scheduleNextProbe(probeTarget.get().id());
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/explain/JobStoryTests.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/explain/JobTimelineTests.java
@@ -9,7 +9,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class JobStoryTests {
+class JobTimelineTests {
 
 	private static final String ANSWERED = "{\"at\":9000,\"event\":\"SubmissionAnswered\",\"job\":\"a\","
 			+ "\"queue\":\"q\",\"outcome\":\"ACCEPTED\",\"tookMillis\":13,\"configurationVersion\":4}";
@@ -42,13 +42,13 @@
 				+ ",\"previousHolder\":\"h1\",\"reason\":\"not renewed\"}";
 	}
 
-	private static JobStory story(String... lines) {
-		JobStory story = new JobStory("a");
-		List.of(lines).forEach((line) -> story.take("file", line));
+	private static JobTimeline story(String... lines) {
+		JobTimeline story = new JobTimeline("a");
+		List.of(lines).forEach((line) -> story.addLine("file", line));
 		return story;
 	}
 
-	private static List<String> told(JobStory story) {
+	private static List<String> told(JobTimeline story) {
 		return story.lines().stream().map((line) -> line.source() + ' ' + line.event()).toList();
 	}
 
@@ -57,7 +57,7 @@
 
 		@Test
 		void isThatOfCausesWhateverTheTimesOfDaySay() {
-			JobStory story = story("h2 " + taken(2), "h2 " + placed(0, 49, 2), "h2 " + ended(0, 49, "DONE"),
+			JobTimeline story = story("h2 " + taken(2), "h2 " + placed(0, 49, 2), "h2 " + ended(0, 49, "DONE"),
 					"h2 " + ENDED, "h1 " + taken(1), "h1 " + LEARNT, "h1 " + placed(0, 1, 1), "g " + ANSWERED);
 			assertThat(told(story)).containsExactly("g SubmissionAnswered", "h1 JobLearnt", "h1 TaskPlaced",
 					"h2 OwnershipTaken", "h2 TaskPlaced", "h2 TaskEnded", "h2 JobEnded");
@@ -78,13 +78,13 @@
 					"h2 TaskPlaced", "h3 OwnershipTaken", "h3 JobEnded");
 		}
 
-		private static JobStory merged(List<List<String>> processes, Random random) {
-			JobStory story = new JobStory("a");
+		private static JobTimeline merged(List<List<String>> processes, Random random) {
+			JobTimeline story = new JobTimeline("a");
 			List<List<String>> rest = new ArrayList<>();
 			processes.forEach((lines) -> rest.add(new ArrayList<>(lines)));
 			while (!rest.isEmpty()) {
 				List<String> next = rest.get(random.nextInt(rest.size()));
-				story.take("file", next.remove(0));
+				story.addLine("file", next.remove(0));
 				rest.removeIf(List::isEmpty);
 			}
 			return story;
@@ -98,7 +98,7 @@
 
 		@Test
 		void goesOnIfLinesNameCausesInACircle() {
-			JobStory story = story("h1 " + ended(0, 2, "DONE"), "h1 " + placed(0, 1, 1), "h2 " + ended(0, 1, "DONE"),
+			JobTimeline story = story("h1 " + ended(0, 2, "DONE"), "h1 " + placed(0, 1, 1), "h2 " + ended(0, 1, "DONE"),
 					"h2 " + placed(0, 2, 1));
 			assertThat(told(story)).hasSize(4);
 		}
@@ -112,7 +112,7 @@
 		void mayStandBehindWhatACollectorPutsThere() {
 			for (String prefix : List.of("", "h1 | ", "  -9.4454 h1 ", "Dec  3 03:10:05 h1: ",
 					"2026-12-03T03:10:05.1Z h1 ")) {
-				JobStory story = story("{\"event\":\"ProcessStarted\",\"role\":\"host\",\"host\":\"h1\"}",
+				JobTimeline story = story("{\"event\":\"ProcessStarted\",\"role\":\"host\",\"host\":\"h1\"}",
 						prefix + LEARNT);
 				assertThat(story.lines()).as(prefix).hasSize(1);
 			}
@@ -125,22 +125,22 @@
 
 		@Test
 		void thatAreCutAreCountedAndPassedOver() {
-			JobStory story = story("h1 " + LEARNT, "h1 " + placed(0, 1, 1).substring(0, 70), "h1 {\"at\":4,\"eve",
+			JobTimeline story = story("h1 " + LEARNT, "h1 " + placed(0, 1, 1).substring(0, 70), "h1 {\"at\":4,\"eve",
 					"h1 " + ENDED);
 			assertThat(told(story)).containsExactly("h1 JobLearnt", "h1 JobEnded");
-			assertThat(story.gaps()).containsExactly("2 lines are cut, 1 of them name a");
+			assertThat(story.missingData()).containsExactly("2 lines are cut, 1 of them name a");
 		}
 
 		@Test
 		void thatBeginWithTheRestOfACutOneAreRead() {
-			JobStory story = story("1.0 h1 " + LEARNT,
+			JobTimeline story = story("1.0 h1 " + LEARNT,
 					"1.0 h1 " + placed(0, 1, 1).substring(0, 70) + " 1.1 g " + CANCEL);
 			assertThat(told(story)).containsExactly("h1 JobLearnt", "g CancellationAnswered");
 		}
 
 		@Test
 		void ofAnOwnerThatHaveLostTheirBeginningAreTheOwnersOfTheirEpoch() {
-			JobStory story = story("1.0 h1 " + placed(0, 1, 1), "1.0 g " + ANSWERED, ended(0, 1, "DONE"),
+			JobTimeline story = story("1.0 h1 " + placed(0, 1, 1), "1.0 g " + ANSWERED, ended(0, 1, "DONE"),
 					"1.0 h1 " + ENDED);
 			assertThat(told(story)).containsExactly("g SubmissionAnswered", "h1 TaskPlaced", "h1 TaskEnded",
 					"h1 JobEnded");
@@ -148,29 +148,29 @@
 
 		@Test
 		void thatWereLeftOutAreTold() {
-			assertThat(story("h1 " + LEARNT, "h1 {\"event\":\"LinesLeftOut\",\"count\":7}").gaps())
+			assertThat(story("h1 " + LEARNT, "h1 {\"event\":\"LinesLeftOut\",\"count\":7}").missingData())
 				.containsExactly("7 lines of all jobs were left out by their bounds: steps may be missing");
 		}
 
 		@Test
 		void ofOtherJobsAreNotTold() {
-			JobStory story = story("h1 " + LEARNT.replace("\"a\"", "\"ab\""), "noise", "");
+			JobTimeline story = story("h1 " + LEARNT.replace("\"a\"", "\"ab\""), "noise", "");
 			assertThat(story.isFound()).isFalse();
 			assertThat(story.readCount()).isEqualTo(3);
 		}
 
 		@Test
 		void ofATaskAreThoseOfItsJobWithoutItsSiblings() {
-			JobStory story = new JobStory("a.0.0.1");
+			JobTimeline story = new JobTimeline("a.0.0.1");
 			List.of(LEARNT, placed(0, 1, 1), placed(1, 1, 1), ended(0, 1, "DONE"), ended(1, 1, "FAILED"), ENDED)
-				.forEach((line) -> story.take("file", line));
+				.forEach((line) -> story.addLine("file", line));
 			assertThat(story.lines()).extracting((line) -> line.text("task"))
 				.containsExactly("", "a.0.0.1", "a.0.0.1", "");
 		}
 
 		@Test
 		void ofARequestThatWasRefusedAreFoundByItsPath() {
-			JobStory story = story("g {\"at\":1,\"event\":\"RequestRefused\",\"request\":\"/x/a\","
+			JobTimeline story = story("g {\"at\":1,\"event\":\"RequestRefused\",\"request\":\"/x/a\","
 					+ "\"reason\":\"no such queue\",\"configurationVersion\":3}");
 			assertThat(story.causes()).containsExactly("refused by g: no such queue, decided by configuration 3");
 		}
@@ -188,11 +188,11 @@
 				lines.add("h1 " + ended(i, 1 + i % 9, (i % 3 == 0) ? "FAILED" : "DONE"));
 			}
 			lines.add("h1 " + ENDED);
-			JobStory story = story(lines.toArray(String[]::new));
-			assertThat(story.folded()).hasSizeLessThanOrEqualTo(12)
+			JobTimeline story = story(lines.toArray(String[]::new));
+			assertThat(story.formatCondensed()).hasSizeLessThanOrEqualTo(12)
 				.anyMatch((line) -> line.startsWith("h1: TaskPlaced (400 times) task=a.0.0.0,a.0.0.1 and 398 more "
 						+ "attempt=1..9 worker=w1 fence=1 lookAgeMillis=4 waitedMillis=30"));
-			assertThat(story.whole()).hasSize(802);
+			assertThat(story.formatAll()).hasSize(802);
 		}
 
 		@Test
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/CollectedLogs.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/CollectedLogs.java
@@ -7,7 +7,7 @@
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import org.monsoonrelay.logic.events.Decision;
-import org.monsoonrelay.logic.explain.JobStory;
+import org.monsoonrelay.logic.explain.JobTimeline;
 import org.monsoonrelay.logic.platform.Json;
 
 /**
@@ -34,11 +34,11 @@
 	 * @param id the id
 	 * @return the story
 	 */
-	JobStory story(String id) {
-		JobStory story = new JobStory(id);
+	JobTimeline story(String id) {
+		JobTimeline story = new JobTimeline(id);
 		List<String> processes = new ArrayList<>(this.lines.keySet());
 		for (int i = processes.size() - 1; i >= 0; i--) {
-			this.lines.get(processes.get(i)).forEach((line) -> story.take("collected", line));
+			this.lines.get(processes.get(i)).forEach((line) -> story.addLine("collected", line));
 		}
 		return story;
 	}
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/JobDiagnosisTests.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/JobDiagnosisTests.java
@@ -5,7 +5,7 @@
 import org.junit.jupiter.api.Nested;
 import org.junit.jupiter.api.Test;
 import org.monsoonrelay.logic.events.JobDecision;
-import org.monsoonrelay.logic.explain.JobStory;
+import org.monsoonrelay.logic.explain.JobTimeline;
 import org.monsoonrelay.logic.explain.LogLine;
 import org.monsoonrelay.logic.submission.JobTables;
 import org.monsoonrelay.model.submission.TaskKey;
@@ -21,16 +21,16 @@
 
 	private final SimulatedCell cell = new SimulatedCell().withWorkers(3);
 
-	private static List<String> events(JobStory story) {
+	private static List<String> events(JobTimeline story) {
 		return story.lines().stream().map(LogLine::event).distinct().toList();
 	}
 
-	private static String causes(JobStory story) {
+	private static String causes(JobTimeline story) {
 		return String.join("\n", story.causes());
 	}
 
-	private static void assertAtMostTwelveLines(JobStory story) {
-		assertThat(story.folded()).hasSizeBetween(1, 12);
+	private static void assertAtMostTwelveLines(JobTimeline story) {
+		assertThat(story.formatCondensed()).hasSizeBetween(1, 12);
 	}
 
 	@Test
@@ -46,7 +46,7 @@
 			.map((decision) -> ((JobDecision.JobEnded) decision).job())
 			.reduce((earlier, later) -> later)
 			.orElseThrow();
-		JobStory story = this.cell.logs.story(late);
+		JobTimeline story = this.cell.logs.story(late);
 		assertThat(events(story)).containsExactly("JobLearnt", "EligibilityAnswered", "TaskPlaced", "TaskEnded",
 				"JobEnded");
 		assertThat(causes(story)).contains("COMPLETED after")
@@ -70,7 +70,7 @@
 			String holder = cell.workers.workerRunning(TASK);
 			cell.workers.crash(holder);
 			cell.time.runFor(LEASE_OVER_MILLIS + 4000);
-			JobStory story = cell.logs.story("a");
+			JobTimeline story = cell.logs.story("a");
 			assertThat(events(story)).containsExactly("JobLearnt", "TaskPlaced", "WorkerSilent", "WorkerLost",
 					"TaskLost", "TaskEnded", "JobEnded");
 			assertThat(causes(story)).contains("1 runs were lost with worker " + holder + ": its lease has lapsed")
@@ -88,7 +88,7 @@
 			cell.time.runFor(300);
 			first.kill();
 			cell.time.runFor(LEASE_OVER_MILLIS);
-			JobStory story = cell.logs.story("a");
+			JobTimeline story = cell.logs.story("a");
 			assertThat(events(story)).containsSubsequence("JobLearnt", "TaskPlaced", "OwnershipTaken", "TaskEnded",
 					"JobEnded");
 			assertThat(story.lines()).filteredOn((line) -> line.event().equals("TaskPlaced"))
@@ -109,7 +109,7 @@
 			cell.workers.crash(cell.workers.workerRunning(TASK));
 			first.kill();
 			cell.time.runFor(3 * LEASE_OVER_MILLIS);
-			JobStory story = cell.logs.story("a");
+			JobTimeline story = cell.logs.story("a");
 			assertThat(story.lines()).filteredOn((line) -> line.event().equals("TaskPlaced"))
 				.extracting(LogLine::source)
 				.containsExactly("s0first", "s1first");
@@ -149,7 +149,7 @@
 			}
 			cell.submit("a", SimulatedCell.step(2, false));
 			cell.time.runFor(600);
-			JobStory story = cell.logs.story("a");
+			JobTimeline story = cell.logs.story("a");
 			assertThat(events(story)).contains("StartFailed");
 			assertThat(causes(story)).contains("starts that failed: {NO_ANSWER at w");
 		}
@@ -182,7 +182,7 @@
 			cell.table.setDown(false);
 			cell.addScheduler();
 			cell.time.runFor(LEASE_OVER_MILLIS);
-			JobStory story = cell.logs.story("a");
+			JobTimeline story = cell.logs.story("a");
 			assertThat(causes(story)).contains("failed: 1 tasks failed, most often a.0.0.0: attempt 1 on ")
 				.contains("s1first took the pool over as epoch 2");
 			assertThat(story.lines().stream().map((line) -> line.event() + ' ' + line.source())).containsSubsequence(
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/MeasuresTests.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/MeasuresTests.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 import org.junit.jupiter.api.Test;
-import org.monsoonrelay.logic.events.Measure;
+import org.monsoonrelay.logic.events.Metric;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -11,7 +11,7 @@
 
 	private final SimulatedCell cell = new SimulatedCell();
 
-	private List<Long> valuesOf(Measure measure) {
+	private List<Long> valuesOf(Metric measure) {
 		return this.cell.measures.getOrDefault(measure, List.of());
 	}
 
@@ -26,8 +26,8 @@
 		startSchedulerWithWorker(false);
 		this.cell.submit("a", SimulatedCell.step(2, false));
 		this.cell.time.runFor(300);
-		assertThat(valuesOf(Measure.START)).hasSize(2).allMatch((millis) -> millis >= 1 && millis <= 5);
-		assertThat(valuesOf(Measure.ACKNOWLEDGEMENT)).isEmpty();
+		assertThat(valuesOf(Metric.START_LATENCY)).hasSize(2).allMatch((millis) -> millis >= 1 && millis <= 5);
+		assertThat(valuesOf(Metric.ACKNOWLEDGEMENT_LATENCY)).isEmpty();
 	}
 
 	@Test
@@ -37,10 +37,10 @@
 		this.cell.time.runFor(300);
 		this.cell.table.setDown(true);
 		this.cell.time.runFor(1000);
-		assertThat(valuesOf(Measure.ACKNOWLEDGEMENT)).isEmpty();
+		assertThat(valuesOf(Metric.ACKNOWLEDGEMENT_LATENCY)).isEmpty();
 		this.cell.table.setDown(false);
 		this.cell.time.runFor(2000);
-		assertThat(valuesOf(Measure.ACKNOWLEDGEMENT)).singleElement()
+		assertThat(valuesOf(Metric.ACKNOWLEDGEMENT_LATENCY)).singleElement()
 			.satisfies((millis) -> assertThat(millis).isGreaterThan(600));
 	}
 
@@ -50,7 +50,7 @@
 		this.cell.submit("a", 2, SimulatedCell.step(1, false));
 		this.cell.time.runFor(4000);
 		long wastePerRun = SimulatedCell.RUN_MILLIS * SimulatedCell.TASK.processors();
-		assertThat(valuesOf(Measure.WASTE)).hasSize(2)
+		assertThat(valuesOf(Metric.WASTED_PROCESSOR_TIME)).hasSize(2)
 			.allMatch((waste) -> waste >= wastePerRun && waste < wastePerRun * 11 / 10);
 	}
 
@@ -59,7 +59,7 @@
 		startSchedulerWithWorker(false);
 		this.cell.submit("a", SimulatedCell.step(4, true));
 		this.cell.time.runFor(2000);
-		assertThat(valuesOf(Measure.WASTE)).isEmpty();
+		assertThat(valuesOf(Metric.WASTED_PROCESSOR_TIME)).isEmpty();
 	}
 
 }
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/SimulatedCell.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/SimulatedCell.java
@@ -11,7 +11,7 @@
 
 import org.monsoonrelay.logic.events.Decision;
 import org.monsoonrelay.logic.events.DecisionLog;
-import org.monsoonrelay.logic.events.Measure;
+import org.monsoonrelay.logic.events.Metric;
 import org.monsoonrelay.logic.platform.Json;
 import org.monsoonrelay.logic.platform.PartitionWrite;
 import org.monsoonrelay.logic.platform.UnreadableRows;
@@ -61,7 +61,7 @@
 	/** What each process has written. */
 	final CollectedLogs logs = new CollectedLogs();
 
-	final Map<Measure, List<Long>> measures = new EnumMap<>(Measure.class);
+	final Map<Metric, List<Long>> measures = new EnumMap<>(Metric.class);
 
 	final UnreadableRows unreadable = new UnreadableRows(this.decisions::add);
 
@@ -190,7 +190,7 @@
 		}
 
 		@Override
-		public void measured(Measure measure, long value) {
+		public void recordMetric(Metric measure, long value) {
 			SimulatedCell.this.measures.computeIfAbsent(measure, (kind) -> new ArrayList<>()).add(value);
 		}
 
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/queue/FakeRackOwners.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/queue/FakeRackOwners.java
@@ -44,7 +44,7 @@
 		List<Worker> inRack = new ArrayList<>();
 		for (Resources size : sizes) {
 			Worker worker = new Worker(new WorkerId(rack + "-" + inRack.size()), size);
-			worker.report("incarnation-1", Map.of());
+			worker.applyReport("incarnation-1", Map.of());
 			inRack.add(worker);
 		}
 		this.workers.put(rack, inRack);
@@ -63,8 +63,8 @@
 		List<RackSummary> summaries = new ArrayList<>();
 		this.workers.forEach((rack, inRack) -> {
 			Resources capacity = inRack.stream().map(Worker::capacity).reduce(Resources.NONE, Resources::plus);
-			Resources free = inRack.stream().map(Worker::free).reduce(Resources.NONE, Resources::plus);
-			int largest = inRack.stream().mapToInt((worker) -> worker.free().processors()).max().orElse(0);
+			Resources free = inRack.stream().map(Worker::freeCapacity).reduce(Resources.NONE, Resources::plus);
+			int largest = inRack.stream().mapToInt((worker) -> worker.freeCapacity().processors()).max().orElse(0);
 			summaries
 				.add(new RackSummary(rack, this.domains.get(rack), 1, inRack.size(), capacity, free, largest, true));
 		});
@@ -76,7 +76,7 @@
 	}
 
 	void expireReservations(Instant now) {
-		this.workers.values().forEach((inRack) -> inRack.forEach((worker) -> worker.lapse(now)));
+		this.workers.values().forEach((inRack) -> inRack.forEach((worker) -> worker.expireReservations(now)));
 	}
 
 	@Override
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/queue/ManualQueueOwner.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/queue/ManualQueueOwner.java
@@ -80,7 +80,7 @@
 	}
 
 	void runRound() {
-		CellText text = new CellText("cell", PolicyWeights.EVEN, this.teams, List.of(), List.of(), List.of());
+		CellText text = new CellText("cell", PolicyWeights.EQUAL, this.teams, List.of(), List.of(), List.of());
 		this.scheduler.runRound(this.queues, new InForce(ControlHead.NONE, ControlState.NONE, text), Set.of());
 		this.journal.flush();
 	}
@@ -113,10 +113,10 @@
 					Worker worker = this.racks.running.get(attempt);
 					if (worker != null && this.racks.stopped.contains(attempt)) {
 						this.racks.endAttempt(attempt);
-						job.gone(attempt);
+						job.markNotRunning(attempt);
 					}
 					else if (worker != null) {
-						job.running(attempt, worker.id());
+						job.markRunning(attempt, worker.id());
 					}
 				}
 			}
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/queue/TeamSchedulerTests.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/queue/TeamSchedulerTests.java
@@ -70,8 +70,8 @@
 				finishIfAllTasksRun(other);
 			}
 
-			assertThat(one.counts()).isEqualTo(Map.of(TaskState.FINISHED, 7));
-			assertThat(other.counts()).isEqualTo(Map.of(TaskState.FINISHED, 7));
+			assertThat(one.stateCounts()).isEqualTo(Map.of(TaskState.FINISHED, 7));
+			assertThat(other.stateCounts()).isEqualTo(Map.of(TaskState.FINISHED, 7));
 		}
 
 		private void finishIfAllTasksRun(Job job) {
@@ -81,7 +81,7 @@
 				.toList();
 			assertThat(running.size()).isIn(0, job.workload().tasks());
 			running.forEach((attempt) -> {
-				job.finished(attempt);
+				job.markFinished(attempt);
 				TeamSchedulerTests.this.racks.endAttempt(attempt);
 			});
 		}
@@ -117,7 +117,7 @@
 			owner.drain();
 
 			assertThat(TeamSchedulerTests.this.racks.running).isEmpty();
-			assertThat(wages.counts()).isEqualTo(Map.of(TaskState.WAITING, 4));
+			assertThat(wages.stateCounts()).isEqualTo(Map.of(TaskState.WAITING, 4));
 		}
 
 	}
@@ -181,7 +181,7 @@
 				.containsKeys(urgent.openAttempts().toArray(new AttemptId[0]));
 			assertThat(urgent.openCount()).isEqualTo(1);
 			assertThat(TeamSchedulerTests.this.racks.stopped).hasSize(2);
-			assertThat(batch.counts()).isEqualTo(Map.of(TaskState.RUNNING, 6, TaskState.WAITING, 2));
+			assertThat(batch.stateCounts()).isEqualTo(Map.of(TaskState.RUNNING, 6, TaskState.WAITING, 2));
 		}
 
 		@Test
--- a/monsoonrelay-model/src/main/java/org/monsoonrelay/model/capacity/Resources.java
+++ b/monsoonrelay-model/src/main/java/org/monsoonrelay/model/capacity/Resources.java
@@ -100,7 +100,7 @@
 	 * @param whole the whole
 	 * @return at least 0, more than 1 if the whole does not cover this amount
 	 */
-	public double largestShareOf(Resources whole) {
+	public double dominantShareOf(Resources whole) {
 		double processorShare = (double) this.processors / Math.max(1, whole.processors);
 		double memoryShare = (double) this.memoryMiB / Math.max(1, whole.memoryMiB);
 		return Math.max(Math.max(processorShare, memoryShare),
@@ -112,7 +112,7 @@
 	 * @param size the other amount, not nothing
 	 * @return the count
 	 */
-	public long count(Resources size) {
+	public long fitCount(Resources size) {
 		return Math.min(Math.min(times(this.processors, size.processors), times(this.memoryMiB, size.memoryMiB)),
 				times(this.accelerators, size.accelerators));
 	}
--- a/monsoonrelay-model/src/main/java/org/monsoonrelay/model/job/Gang.java
+++ b/monsoonrelay-model/src/main/java/org/monsoonrelay/model/job/Gang.java
@@ -17,7 +17,7 @@
 
 	private final Instant startBy;
 
-	private boolean givenUp;
+	private boolean abandoned;
 
 	public Gang(Collection<AttemptId> attempts, Instant startBy) {
 		this.missing = new HashSet<>(attempts);
@@ -28,7 +28,7 @@
 	 * Note that room is held for an attempt. Idempotent.
 	 * @param attempt the attempt
 	 */
-	public void held(AttemptId attempt) {
+	public void markHeld(AttemptId attempt) {
 		this.missing.remove(attempt);
 	}
 
@@ -38,15 +38,15 @@
 	 * @param now the current time
 	 * @return {@code true} if room is held for all and the time has not come
 	 */
-	public boolean startOrGiveUp(Instant now) {
+	public boolean startOrAbandon(Instant now) {
 		if (!this.missing.isEmpty() || !now.isBefore(this.startBy)) {
-			this.givenUp = true;
+			this.abandoned = true;
 		}
-		return !this.givenUp;
+		return !this.abandoned;
 	}
 
-	public boolean isGivenUp() {
-		return this.givenUp;
+	public boolean isAbandoned() {
+		return this.abandoned;
 	}
 
 }
--- a/monsoonrelay-model/src/main/java/org/monsoonrelay/model/job/Job.java
+++ b/monsoonrelay-model/src/main/java/org/monsoonrelay/model/job/Job.java
@@ -32,14 +32,14 @@
 
 	private Instant finishedAt;
 
-	private long attemptFloor;
+	private long minimumAttempt;
 
 	private boolean retired;
 
 	public Job(Workload workload, JobRecord recorded, long queueEpoch, Instant now) {
 		this.queueEpoch = queueEpoch;
 		this.hostsVersion = recorded.hostsVersion();
-		this.attemptFloor = queueEpoch << EPOCH_SHIFT;
+		this.minimumAttempt = queueEpoch << EPOCH_SHIFT;
 		this.workload = workload;
 		this.readySince = now;
 		this.tasks = new TaskList(workload.tasks());
@@ -48,7 +48,7 @@
 	}
 
 	private void restore(TaskRecord recorded) {
-		boolean mayRun = recorded.state().mayRun();
+		boolean mayRun = recorded.state().mayBeRunning();
 		TaskState restored = recorded.state();
 		if (restored == TaskState.RESERVED || mayRun) {
 			restored = (mayRun && this.workload.once()) ? TaskState.IN_DOUBT : TaskState.WAITING;
@@ -69,8 +69,8 @@
 	 * @param limit the most to return
 	 * @return the indexes, ascending
 	 */
-	public List<Integer> placeable(Instant now, int limit) {
-		return this.tasks.due(now, limit);
+	public List<Integer> placeableTasks(Instant now, int limit) {
+		return this.tasks.dueTasks(now, limit);
 	}
 
 	/**
@@ -79,13 +79,13 @@
 	 * @return the attempt
 	 * @throws IllegalStateException if the task has an open attempt or is final
 	 */
-	public AttemptId open(int index) {
+	public AttemptId openAttempt(int index) {
 		Task task = this.tasks.get(index);
 		if (task.state() != TaskState.WAITING) {
 			throw new IllegalStateException("task " + index + " of " + id() + " is " + task.state());
 		}
-		task.advance(Math.max(task.attempt() + 1, this.attemptFloor));
-		this.tasks.set(task, TaskState.RESERVED);
+		task.advanceTo(Math.max(task.attempt() + 1, this.minimumAttempt));
+		this.tasks.setState(task, TaskState.RESERVED);
 		return attemptOf(task);
 	}
 
@@ -96,13 +96,13 @@
 	 * @param incarnation the worker's incarnation
 	 * @return {@code true} if the attempt is still the open one
 	 */
-	public boolean reservedOn(AttemptId attempt, WorkerId worker, String incarnation) {
+	public boolean recordReservation(AttemptId attempt, WorkerId worker, String incarnation) {
 		Task task = taskOf(attempt);
 		boolean asked = task.state() == TaskState.RESERVED || task.state() == TaskState.STARTING;
 		if (this.retired || task.attempt() != attempt.attempt() || !asked) {
 			return false;
 		}
-		task.placedOn(worker.value(), incarnation);
+		task.setPlacement(worker.value(), incarnation);
 		return true;
 	}
 
@@ -111,12 +111,12 @@
 	 * @param attempt the attempt
 	 * @return {@code true} if it is the open one and was reserved
 	 */
-	public boolean starting(AttemptId attempt) {
+	public boolean markStarting(AttemptId attempt) {
 		Task task = taskOf(attempt);
 		if (this.retired || task.attempt() != attempt.attempt() || task.state() != TaskState.RESERVED) {
 			return false;
 		}
-		this.tasks.set(task, TaskState.STARTING);
+		this.tasks.setState(task, TaskState.STARTING);
 		return true;
 	}
 
@@ -136,13 +136,13 @@
 	 * @param attempt the attempt
 	 * @param worker the worker that says so
 	 */
-	public void running(AttemptId attempt, WorkerId worker) {
+	public void markRunning(AttemptId attempt, WorkerId worker) {
 		Task task = taskOf(attempt);
-		if (!task.takesWordOf(attempt.attempt())) {
+		if (!task.acceptsMessageFor(attempt.attempt())) {
 			return;
 		}
-		task.runsOn(worker.value());
-		this.tasks.set(task, TaskState.RUNNING);
+		task.setWorker(worker.value());
+		this.tasks.setState(task, TaskState.RUNNING);
 	}
 
 	/**
@@ -150,13 +150,13 @@
 	 * @param attempt the attempt
 	 * @return {@code true} if the task's state changed
 	 */
-	public boolean finished(AttemptId attempt) {
+	public boolean markFinished(AttemptId attempt) {
 		Task task = taskOf(attempt);
-		if (!task.takesWordOf(attempt.attempt())) {
+		if (!task.acceptsMessageFor(attempt.attempt())) {
 			return false;
 		}
-		task.end();
-		this.tasks.set(task, isService() ? TaskState.WAITING : TaskState.FINISHED);
+		task.markEnded();
+		this.tasks.setState(task, isService() ? TaskState.WAITING : TaskState.FINISHED);
 		return true;
 	}
 
@@ -166,14 +166,14 @@
 	 * @param now the current time, from which the backoff counts
 	 * @return {@code true} if the task's state changed
 	 */
-	public boolean failed(AttemptId attempt, Instant now) {
+	public boolean markFailed(AttemptId attempt, Instant now) {
 		Task task = taskOf(attempt);
-		if (!task.takesWordOf(attempt.attempt())) {
+		if (!task.acceptsMessageFor(attempt.attempt())) {
 			return false;
 		}
-		task.fail(now);
+		task.recordFailure(now);
 		boolean isLast = task.hasFailedTooOften() && !isService();
-		this.tasks.set(task, isLast ? TaskState.FAILED : TaskState.WAITING);
+		this.tasks.setState(task, isLast ? TaskState.FAILED : TaskState.WAITING);
 		return true;
 	}
 
@@ -183,15 +183,15 @@
 	 * @param attempt the attempt
 	 * @return {@code true} if the task waits again
 	 */
-	public boolean gone(AttemptId attempt) {
+	public boolean markNotRunning(AttemptId attempt) {
 		Task task = taskOf(attempt);
-		if (!task.takesWordOf(attempt.attempt())) {
+		if (!task.acceptsMessageFor(attempt.attempt())) {
 			return false;
 		}
 		boolean wasOpen = task.isOpen();
-		task.end();
+		task.markEnded();
 		if (wasOpen) {
-			this.tasks.set(task, TaskState.WAITING);
+			this.tasks.setState(task, TaskState.WAITING);
 		}
 		return wasOpen;
 	}
@@ -202,12 +202,12 @@
 	 * @param attempt the attempt
 	 * @return {@code true} if the task waits again
 	 */
-	public boolean lapsed(AttemptId attempt) {
+	public boolean markLeaseExpired(AttemptId attempt) {
 		Task task = taskOf(attempt);
-		if (task.attempt() != attempt.attempt() || !task.state().mayRun()) {
+		if (task.attempt() != attempt.attempt() || !task.state().mayBeRunning()) {
 			return false;
 		}
-		this.tasks.set(task, this.workload.once() ? TaskState.IN_DOUBT : TaskState.WAITING);
+		this.tasks.setState(task, this.workload.once() ? TaskState.IN_DOUBT : TaskState.WAITING);
 		return task.state() == TaskState.WAITING;
 	}
 
@@ -217,9 +217,9 @@
 	 */
 	public List<AttemptId> cancel() {
 		List<AttemptId> open = openAttempts();
-		this.tasks.all()
+		this.tasks.allTasks()
 			.filter((task) -> !task.state().isFinal())
-			.forEach((task) -> this.tasks.set(task, TaskState.CANCELLED));
+			.forEach((task) -> this.tasks.setState(task, TaskState.CANCELLED));
 		return open;
 	}
 
@@ -230,20 +230,22 @@
 	 * @param declared the declaration in force
 	 * @return the attempts that are no longer declared and have to be stopped
 	 */
-	public List<AttemptId> redeclare(Workload declared) {
+	public List<AttemptId> updateDeclaration(Workload declared) {
 		this.workload = declared;
-		if (declared.tasks() != this.tasks.declared()) {
-			this.tasks.declare(declared.tasks());
+		if (declared.tasks() != this.tasks.declaredCount()) {
+			this.tasks.setDeclaredCount(declared.tasks());
 		}
 		if (declared.once()) {
-			this.tasks.all().filter(Task::mayRunUnseen).forEach((task) -> this.tasks.set(task, TaskState.IN_DOUBT));
+			this.tasks.allTasks()
+				.filter(Task::mayRunUnconfirmed)
+				.forEach((task) -> this.tasks.setState(task, TaskState.IN_DOUBT));
 		}
 		if (isService()) {
-			this.tasks.all()
+			this.tasks.allTasks()
 				.filter((task) -> task.state() == TaskState.CANCELLED)
-				.forEach((task) -> this.tasks.set(task, TaskState.WAITING));
+				.forEach((task) -> this.tasks.setState(task, TaskState.WAITING));
 		}
-		return this.tasks.all().skip(declared.tasks()).filter(Task::isOpen).map(this::attemptOf).toList();
+		return this.tasks.allTasks().skip(declared.tasks()).filter(Task::isOpen).map(this::attemptOf).toList();
 	}
 
 	/**
@@ -251,7 +253,7 @@
 	 * @return the attempts
 	 */
 	public List<AttemptId> openAttempts() {
-		return this.tasks.all().filter(Task::isOpen).map(this::attemptOf).toList();
+		return this.tasks.allTasks().filter(Task::isOpen).map(this::attemptOf).toList();
 	}
 
 	/**
@@ -266,7 +268,7 @@
 	 * Number of tasks in each state.
 	 * @return the counts; states without tasks are missing
 	 */
-	public Map<TaskState, Integer> counts() {
+	public Map<TaskState, Integer> stateCounts() {
 		return this.tasks.counts();
 	}
 
@@ -285,7 +287,7 @@
 	 */
 	public boolean isFinal() {
 		return count(TaskState.FINISHED) + count(TaskState.FAILED) + count(TaskState.CANCELLED) == this.tasks
-			.declared();
+			.declaredCount();
 	}
 
 	/**
@@ -294,14 +296,14 @@
 	 */
 	public boolean satisfiesDependents() {
 		TaskState wanted = isService() ? TaskState.RUNNING : TaskState.FINISHED;
-		return count(wanted) == this.tasks.declared();
+		return count(wanted) == this.tasks.declaredCount();
 	}
 
 	/**
 	 * Note when the job finished, unless it is noted already or has not finished.
 	 * @param now the current time
 	 */
-	public void noteFinish(Instant now) {
+	public void recordFinish(Instant now) {
 		if (this.finishedAt == null && !isService() && satisfiesDependents()) {
 			this.finishedAt = now;
 		}
@@ -336,9 +338,9 @@
 	 * no two attempts share a number.
 	 * @param former the other object
 	 */
-	public void succeed(Job former) {
-		long last = former.tasks.all().mapToLong(Task::attempt).max().orElse(0);
-		this.attemptFloor = Math.max(this.attemptFloor, last + 1);
+	public void continueAttemptNumbersOf(Job former) {
+		long last = former.tasks.allTasks().mapToLong(Task::attempt).max().orElse(0);
+		this.minimumAttempt = Math.max(this.minimumAttempt, last + 1);
 	}
 
 	/**
@@ -356,7 +358,7 @@
 	 * @return the record
 	 */
 	public JobRecord toRecord(String writeId, long knownHosts) {
-		List<TaskRecord> changed = this.tasks.all()
+		List<TaskRecord> changed = this.tasks.allTasks()
 			.filter((task) -> task.attempt() > 0 || task.state() != TaskState.WAITING)
 			.map(Task::toRecord)
 			.toList();
--- a/monsoonrelay-model/src/main/java/org/monsoonrelay/model/job/Task.java
+++ b/monsoonrelay-model/src/main/java/org/monsoonrelay/model/job/Task.java
@@ -21,7 +21,7 @@
 
 	private long attempt;
 
-	private long ended;
+	private long lastEndedAttempt;
 
 	private int failures;
 
@@ -41,33 +41,33 @@
 		this.incarnation = recorded.incarnation();
 		this.failures = recorded.failures();
 		this.state = restored;
-		this.ended = hasEnded ? this.attempt : 0;
+		this.lastEndedAttempt = hasEnded ? this.attempt : 0;
 	}
 
 	/**
 	 * Go on to an attempt with a higher number.
 	 * @param number the attempt's number
 	 */
-	void advance(long number) {
+	void advanceTo(long number) {
 		this.attempt = number;
 		this.worker = "";
 		this.incarnation = "";
 	}
 
-	void placedOn(String newWorker, String newIncarnation) {
+	void setPlacement(String newWorker, String newIncarnation) {
 		this.worker = newWorker;
 		this.incarnation = newIncarnation;
 	}
 
-	void runsOn(String newWorker) {
+	void setWorker(String newWorker) {
 		this.worker = newWorker;
 	}
 
 	/**
 	 * Note that the last attempt does not run any more, for certain.
 	 */
-	void end() {
-		this.ended = this.attempt;
+	void markEnded() {
+		this.lastEndedAttempt = this.attempt;
 	}
 
 	/**
@@ -75,11 +75,11 @@
 	 * failure.
 	 * @param now the current time, from which the backoff counts
 	 */
-	void fail(Instant now) {
+	void recordFailure(Instant now) {
 		int doublings = Math.min(this.failures, MAXIMUM_BACKOFF_DOUBLINGS);
 		this.notBefore = now.plus(FIRST_BACKOFF.multipliedBy(1L << doublings));
 		this.failures++;
-		end();
+		markEnded();
 	}
 
 	boolean hasFailedTooOften() {
@@ -92,12 +92,12 @@
 	 * @param number number of the attempt that the message is about
 	 * @return {@code false} if the message changes nothing
 	 */
-	boolean takesWordOf(long number) {
+	boolean acceptsMessageFor(long number) {
 		if (number < this.attempt || hasEnded(number) || this.state.isFinal()) {
 			return false;
 		}
 		if (number > this.attempt) {
-			advance(number);
+			advanceTo(number);
 		}
 		return true;
 	}
@@ -106,16 +106,16 @@
 	 * Tell whether the last attempt may run somewhere although the task waits.
 	 * @return {@code false} if there was none, or its end is certain
 	 */
-	boolean mayRunUnseen() {
-		return this.state == TaskState.WAITING && this.attempt > this.ended;
+	boolean mayRunUnconfirmed() {
+		return this.state == TaskState.WAITING && this.attempt > this.lastEndedAttempt;
 	}
 
 	boolean hasEnded(long number) {
-		return number <= this.ended;
+		return number <= this.lastEndedAttempt;
 	}
 
 	boolean isOpen() {
-		return this.state == TaskState.RESERVED || this.state.mayRun();
+		return this.state == TaskState.RESERVED || this.state.mayBeRunning();
 	}
 
 	boolean isDue(Instant now) {
--- a/monsoonrelay-model/src/main/java/org/monsoonrelay/model/job/TaskList.java
+++ b/monsoonrelay-model/src/main/java/org/monsoonrelay/model/job/TaskList.java
@@ -21,20 +21,20 @@
 
 	private final BitSet waiting = new BitSet();
 
-	private int declared;
+	private int declaredCount;
 
-	private int open;
+	private int openCount;
 
 	TaskList(int declared) {
-		declare(declared);
+		setDeclaredCount(declared);
 	}
 
 	/**
 	 * Change the number of declared tasks. Tasks beyond it are kept.
 	 * @param number the number
 	 */
-	void declare(int number) {
-		this.declared = number;
+	void setDeclaredCount(int number) {
+		this.declaredCount = number;
 		grow(number);
 		this.waiting.clear();
 		Arrays.fill(this.counts, 0);
@@ -52,7 +52,7 @@
 	}
 
 	private void count(Task task, int change) {
-		if (task.index() < this.declared) {
+		if (task.index() < this.declaredCount) {
 			this.counts[task.state().ordinal()] += change;
 			this.waiting.set(task.index(), change > 0 && task.state() == TaskState.WAITING);
 		}
@@ -60,18 +60,18 @@
 
 	void restore(TaskRecord recorded, TaskState restored, boolean hasEnded) {
 		Task task = get(recorded.task());
-		change(task, () -> task.restore(recorded, restored, hasEnded));
+		update(task, () -> task.restore(recorded, restored, hasEnded));
 	}
 
-	void set(Task task, TaskState state) {
-		change(task, () -> task.setState(state));
+	void setState(Task task, TaskState state) {
+		update(task, () -> task.setState(state));
 	}
 
-	private void change(Task task, Runnable change) {
+	private void update(Task task, Runnable change) {
 		count(task, -1);
-		this.open -= task.isOpen() ? 1 : 0;
+		this.openCount -= task.isOpen() ? 1 : 0;
 		change.run();
-		this.open += task.isOpen() ? 1 : 0;
+		this.openCount += task.isOpen() ? 1 : 0;
 		count(task, 1);
 	}
 
@@ -91,7 +91,7 @@
 	 * @param limit the most to return
 	 * @return the indexes, ascending
 	 */
-	List<Integer> due(Instant now, int limit) {
+	List<Integer> dueTasks(Instant now, int limit) {
 		List<Integer> due = new ArrayList<>();
 		for (int index = this.waiting.nextSetBit(0); index >= 0
 				&& due.size() < limit; index = this.waiting.nextSetBit(index + 1)) {
@@ -117,19 +117,19 @@
 	}
 
 	int openCount() {
-		return this.open;
+		return this.openCount;
 	}
 
-	int declared() {
-		return this.declared;
+	int declaredCount() {
+		return this.declaredCount;
 	}
 
-	Stream<Task> all() {
+	Stream<Task> allTasks() {
 		return this.tasks.stream();
 	}
 
 	Stream<Task> declaredTasks() {
-		return this.tasks.stream().limit(this.declared);
+		return this.tasks.stream().limit(this.declaredCount);
 	}
 
 }
--- a/monsoonrelay-model/src/main/java/org/monsoonrelay/model/job/TaskState.java
+++ b/monsoonrelay-model/src/main/java/org/monsoonrelay/model/job/TaskState.java
@@ -44,7 +44,7 @@
 	 * Tell whether a worker may be running the task.
 	 * @return {@code true} if an attempt may have been started and has not ended
 	 */
-	public boolean mayRun() {
+	public boolean mayBeRunning() {
 		return this == STARTING || this == RUNNING || this == IN_DOUBT;
 	}
 
--- a/monsoonrelay-model/src/main/java/org/monsoonrelay/model/membership/Ownership.java
+++ b/monsoonrelay-model/src/main/java/org/monsoonrelay/model/membership/Ownership.java
@@ -19,7 +19,7 @@
 	 * @param newSession the new owner's session
 	 * @return the ownership with the next epoch
 	 */
-	public Ownership takenBy(String newSession) {
+	public Ownership transferredTo(String newSession) {
 		return new Ownership(newSession, this.epoch + 1);
 	}
 
--- a/monsoonrelay-model/src/main/java/org/monsoonrelay/model/membership/SessionRecord.java
+++ b/monsoonrelay-model/src/main/java/org/monsoonrelay/model/membership/SessionRecord.java
@@ -16,13 +16,13 @@
 	 * The record of a session that has ended. Its row may be used by another session.
 	 * @return the record, which stands in no failure domain
 	 */
-	public SessionRecord ended() {
+	public SessionRecord asEnded() {
 		return new SessionRecord(this.session, "", this.peerAddress);
 	}
 
 	/**
 	 * Tell whether the session has ended.
-	 * @return {@code true} for what {@link #ended()} gives
+	 * @return {@code true} for what {@link #asEnded()} gives
 	 */
 	public boolean hasEnded() {
 		return this.failureDomain.isEmpty();
--- a/monsoonrelay-model/src/main/java/org/monsoonrelay/model/submission/JobProgress.java
+++ b/monsoonrelay-model/src/main/java/org/monsoonrelay/model/submission/JobProgress.java
@@ -26,11 +26,11 @@
 	 * @param job the job
 	 * @return {@code true} if so
 	 */
-	public boolean fits(Submission job) {
-		return this.steps.entrySet().stream().allMatch((entry) -> fits(job, entry.getKey(), entry.getValue()));
+	public boolean matches(Submission job) {
+		return this.steps.entrySet().stream().allMatch((entry) -> matches(job, entry.getKey(), entry.getValue()));
 	}
 
-	private static boolean fits(Submission job, String key, StepRecord saved) {
+	private static boolean matches(Submission job, String key, StepRecord saved) {
 		Matcher local = LOCAL_KEY.matcher(key);
 		if (!local.matches() || Integer.parseInt(local.group(1)) >= job.timetable().occurrences()) {
 			return false;
--- a/monsoonrelay-model/src/main/java/org/monsoonrelay/model/submission/StepKey.java
+++ b/monsoonrelay-model/src/main/java/org/monsoonrelay/model/submission/StepKey.java
@@ -24,7 +24,7 @@
 	 * Name of the step within its job.
 	 * @return the form {@code occurrence.step}
 	 */
-	public String local() {
+	public String localName() {
 		return this.occurrence + "." + this.step;
 	}
 
--- a/monsoonrelay-model/src/main/java/org/monsoonrelay/model/submission/StepProgress.java
+++ b/monsoonrelay-model/src/main/java/org/monsoonrelay/model/submission/StepProgress.java
@@ -51,7 +51,7 @@
 	 * @return {@code true} if that was not known yet
 	 */
 	public boolean markDone(int index) {
-		int counted = counted(index);
+		int counted = trackedIndex(index);
 		boolean isNew = !this.done.get(counted);
 		this.done.set(counted);
 		this.checkpoints.remove(counted);
@@ -65,14 +65,14 @@
 	 * @return {@code true} if that was not known yet
 	 */
 	public boolean markFailed(int index, int attempt) {
-		return this.failedAttempts.computeIfAbsent(counted(index), (task) -> new TreeSet<>()).add(attempt);
+		return this.failedAttempts.computeIfAbsent(trackedIndex(index), (task) -> new TreeSet<>()).add(attempt);
 	}
 
 	/**
 	 * Remember the highest attempt that was used.
 	 * @param attempt the attempt
 	 */
-	public void noteAttempt(int attempt) {
+	public void recordAttempt(int attempt) {
 		this.highestAttempt = Math.max(this.highestAttempt, attempt);
 	}
 
@@ -83,7 +83,7 @@
 	 */
 	public void saveCheckpoint(int index, String checkpoint) {
 		if (!checkpoint.isEmpty() && !isDone(index)) {
-			this.checkpoints.put(counted(index), checkpoint);
+			this.checkpoints.put(trackedIndex(index), checkpoint);
 		}
 	}
 
@@ -93,11 +93,11 @@
 	 * @return the progress, empty for none
 	 */
 	public String checkpoint(int index) {
-		return this.checkpoints.getOrDefault(counted(index), "");
+		return this.checkpoints.getOrDefault(trackedIndex(index), "");
 	}
 
 	public boolean isDone(int index) {
-		return this.done.get(counted(index));
+		return this.done.get(trackedIndex(index));
 	}
 
 	/**
@@ -105,14 +105,14 @@
 	 * @return {@code true} if the steps that depend on this one may begin
 	 */
 	public boolean isComplete() {
-		return !this.spec.longRunning() && this.done.cardinality() >= this.spec.countedTasks();
+		return !this.spec.longRunning() && this.done.cardinality() >= this.spec.completionCount();
 	}
 
 	/**
 	 * Failed runs of the task that failed most often.
 	 * @return the count
 	 */
-	public int mostFailures() {
+	public int maximumFailures() {
 		return this.failedAttempts.values().stream().mapToInt(Set::size).max().orElse(0);
 	}
 
@@ -124,13 +124,13 @@
 	 * What has to be durable.
 	 * @return the record
 	 */
-	public StepRecord save() {
+	public StepRecord toRecord() {
 		Map<Integer, List<Integer>> failed = new HashMap<>();
 		this.failedAttempts.forEach((index, attempts) -> failed.put(index, List.copyOf(attempts)));
 		return new StepRecord(this.done.stream().boxed().toList(), failed, this.checkpoints, this.highestAttempt);
 	}
 
-	private int counted(int index) {
+	private int trackedIndex(int index) {
 		return this.spec.gang() ? 0 : index;
 	}
 
--- a/monsoonrelay-model/src/main/java/org/monsoonrelay/model/submission/StepSpec.java
+++ b/monsoonrelay-model/src/main/java/org/monsoonrelay/model/submission/StepSpec.java
@@ -50,7 +50,7 @@
 	 * Number of tasks whose ends complete the step: a gang ends as one.
 	 * @return the count
 	 */
-	public int countedTasks() {
+	public int completionCount() {
 		return this.gang ? 1 : this.count;
 	}
 
--- a/monsoonrelay-model/src/main/java/org/monsoonrelay/model/submission/Submission.java
+++ b/monsoonrelay-model/src/main/java/org/monsoonrelay/model/submission/Submission.java
@@ -20,7 +20,7 @@
 	 * Most tasks of a job, over all its occurrences. Its progress is one row of 48 KB, in
 	 * which a task that is done takes six bytes.
 	 */
-	public static final int MOST_TASKS = 8000;
+	public static final int MAX_TASKS = 8000;
 
 	public Submission {
 		Objects.requireNonNull(id, "id");
@@ -35,8 +35,8 @@
 			}
 		}
 		long tasks = steps.stream().mapToLong(StepSpec::count).sum();
-		if (tasks * timetable.occurrences() > MOST_TASKS) {
-			throw new IllegalArgumentException("more than " + MOST_TASKS + " tasks");
+		if (tasks * timetable.occurrences() > MAX_TASKS) {
+			throw new IllegalArgumentException("more than " + MAX_TASKS + " tasks");
 		}
 		if (steps.isEmpty()) {
 			throw new IllegalArgumentException("a job needs at least one step");
@@ -59,7 +59,8 @@
 	 * @return epoch milliseconds
 	 */
 	public long deadlineMillis(int occurrence) {
-		return dueMillis(occurrence) + (long) (this.policy.slackFactor() * chainMillis(0)) + this.policy.targetMillis();
+		return dueMillis(occurrence) + (long) (this.policy.slackFactor() * criticalPathMillis(0))
+				+ this.policy.targetMillis();
 	}
 
 	/**
@@ -67,7 +68,7 @@
 	 * @param firstStep the step from which the chain is counted
 	 * @return milliseconds
 	 */
-	public long chainMillis(int firstStep) {
+	public long criticalPathMillis(int firstStep) {
 		long[] ends = new long[this.steps.size()];
 		long longest = 0;
 		for (int i = firstStep; i < ends.length; i++) {
--- a/monsoonrelay-model/src/main/java/org/monsoonrelay/model/submission/SubmittedJob.java
+++ b/monsoonrelay-model/src/main/java/org/monsoonrelay/model/submission/SubmittedJob.java
@@ -43,10 +43,10 @@
 	 * @return its progress, begun if need be
 	 */
 	public StepProgress progress(StepKey key) {
-		return this.steps.computeIfAbsent(key.local(), this::begin);
+		return this.steps.computeIfAbsent(key.localName(), this::newProgress);
 	}
 
-	private StepProgress begin(String local) {
+	private StepProgress newProgress(String local) {
 		return new StepProgress(spec(local));
 	}
 
@@ -85,12 +85,12 @@
 	 * End the job if its tasks say so.
 	 * @param key the step whose progress changed
 	 */
-	public void settle(StepKey key) {
+	public void updateState(StepKey key) {
 		if (this.state.isFinal()) {
 			return;
 		}
 		StepSpec spec = this.submission.steps().get(key.step());
-		if (!spec.longRunning() && progress(key).mostFailures() >= this.submission.policy().maximumAttempts()) {
+		if (!spec.longRunning() && progress(key).maximumFailures() >= this.submission.policy().maximumAttempts()) {
 			this.state = SubmissionState.FAILED;
 		}
 		else if (isEveryStepComplete()) {
@@ -123,12 +123,12 @@
 	 * successor reads the progress of all jobs before it begins.
 	 * @return the progress
 	 */
-	public JobProgress save() {
+	public JobProgress toProgress() {
 		if (isEnded()) {
 			return new JobProgress(this.state, Map.of());
 		}
 		Map<String, StepRecord> saved = new HashMap<>();
-		this.steps.forEach((local, progress) -> saved.put(local, progress.save()));
+		this.steps.forEach((local, progress) -> saved.put(local, progress.toRecord()));
 		return new JobProgress(this.state, saved);
 	}
 
--- a/monsoonrelay-model/src/main/java/org/monsoonrelay/model/worker/Worker.java
+++ b/monsoonrelay-model/src/main/java/org/monsoonrelay/model/worker/Worker.java
@@ -56,7 +56,7 @@
 		if (this.commitments.containsKey(attempt)) {
 			return true;
 		}
-		if (!accepts(size)) {
+		if (!canAccept(size)) {
 			return false;
 		}
 		add(attempt, new Commitment(size, Optional.of(deadline)));
@@ -94,10 +94,10 @@
 	 * @param now the current time
 	 * @return the attempts released
 	 */
-	public List<AttemptId> lapse(Instant now) {
+	public List<AttemptId> expireReservations(Instant now) {
 		List<AttemptId> lapsed = this.commitments.entrySet()
 			.stream()
-			.filter((entry) -> entry.getValue().hasLapsed(now))
+			.filter((entry) -> entry.getValue().hasExpired(now))
 			.map(Map.Entry::getKey)
 			.toList();
 		lapsed.forEach(this::release);
@@ -114,7 +114,7 @@
 	 * @return attempts granted here under an earlier incarnation, which the worker has
 	 * lost
 	 */
-	public List<AttemptId> report(String reportedIncarnation, Map<AttemptId, Resources> running) {
+	public List<AttemptId> applyReport(String reportedIncarnation, Map<AttemptId, Resources> running) {
 		if (this.pastIncarnations.contains(reportedIncarnation)) {
 			return List.of();
 		}
@@ -135,8 +135,8 @@
 	 * @param size what the task asks for
 	 * @return {@code true} if there is room and the worker takes new work
 	 */
-	public boolean accepts(Resources size) {
-		return this.reported && !this.leaving && isWithinCapacity() && free().covers(size);
+	public boolean canAccept(Resources size) {
+		return this.reported && !this.leaving && isWithinCapacity() && freeCapacity().covers(size);
 	}
 
 	/**
@@ -151,7 +151,7 @@
 	 * What is left of the capacity.
 	 * @return the room left, nothing if the worker runs more than its capacity
 	 */
-	public Resources free() {
+	public Resources freeCapacity() {
 		return isWithinCapacity() ? this.capacity.minus(this.committed) : Resources.NONE;
 	}
 
@@ -186,7 +186,7 @@
 		return this.incarnation;
 	}
 
-	public boolean isReported() {
+	public boolean hasReported() {
 		return this.reported;
 	}
 
@@ -207,7 +207,7 @@
 	 * @param job the job
 	 * @return the count
 	 */
-	public int attemptsOf(JobId job) {
+	public int attemptCount(JobId job) {
 		return this.attemptsByJob.getOrDefault(job, 0);
 	}
 
@@ -216,13 +216,13 @@
 	 * @param attempt the attempt
 	 * @return {@code true} if it does
 	 */
-	public boolean holds(AttemptId attempt) {
+	public boolean hasCommitment(AttemptId attempt) {
 		return this.commitments.containsKey(attempt);
 	}
 
 	private record Commitment(Resources size, Optional<Instant> deadline) {
 
-		boolean hasLapsed(Instant now) {
+		boolean hasExpired(Instant now) {
 			return this.deadline.filter((at) -> !now.isBefore(at)).isPresent();
 		}
 
--- a/monsoonrelay-model/src/main/java/org/monsoonrelay/model/workload/CellText.java
+++ b/monsoonrelay-model/src/main/java/org/monsoonrelay/model/workload/CellText.java
@@ -24,11 +24,11 @@
 	/**
 	 * A text that declares nothing.
 	 */
-	public static final CellText EMPTY = new CellText("", PolicyWeights.EVEN, List.of(), List.of(), List.of(),
+	public static final CellText EMPTY = new CellText("", PolicyWeights.EQUAL, List.of(), List.of(), List.of(),
 			List.of());
 
 	public CellText {
-		policy = (policy != null) ? policy : PolicyWeights.EVEN;
+		policy = (policy != null) ? policy : PolicyWeights.EQUAL;
 		teams = (teams != null) ? List.copyOf(teams) : List.of();
 		services = (services != null) ? List.copyOf(services) : List.of();
 		batchRuns = (batchRuns != null) ? List.copyOf(batchRuns) : List.of();
--- a/monsoonrelay-model/src/main/java/org/monsoonrelay/model/workload/PolicyWeights.java
+++ b/monsoonrelay-model/src/main/java/org/monsoonrelay/model/workload/PolicyWeights.java
@@ -12,6 +12,6 @@
 	/**
 	 * All measures alike.
 	 */
-	public static final PolicyWeights EVEN = new PolicyWeights(1, 1, 1);
+	public static final PolicyWeights EQUAL = new PolicyWeights(1, 1, 1);
 
 }
--- a/monsoonrelay-model/src/main/java/org/monsoonrelay/model/workload/QuotaLedger.java
+++ b/monsoonrelay-model/src/main/java/org/monsoonrelay/model/workload/QuotaUsage.java
@@ -7,13 +7,13 @@
  * that was found running may be over it, and then nothing new is granted. Not
  * thread-safe: confined to the control thread of the queue's owner.
  */
-public final class QuotaLedger {
+public final class QuotaUsage {
 
 	private final Team team;
 
 	private Resources used;
 
-	public QuotaLedger(Team team, Resources used) {
+	public QuotaUsage(Team team, Resources used) {
 		this.team = team;
 		this.used = used;
 	}
@@ -24,11 +24,11 @@
 	 * @param wanted how many are wanted
 	 * @return between 0 and the number wanted
 	 */
-	public int allows(Resources size, int wanted) {
+	public int allowedTasks(Resources size, int wanted) {
 		if (!this.team.quota().covers(this.used)) {
 			return 0;
 		}
-		return (int) Math.min(wanted, this.team.quota().minus(this.used).count(size));
+		return (int) Math.min(wanted, this.team.quota().minus(this.used).fitCount(size));
 	}
 
 	/**
@@ -37,8 +37,8 @@
 	 * @param tasks how many
 	 * @throws IllegalStateException if the quota does not allow it
 	 */
-	public void take(Resources size, int tasks) {
-		if (tasks > allows(size, tasks)) {
+	public void allocate(Resources size, int tasks) {
+		if (tasks > allowedTasks(size, tasks)) {
 			throw new IllegalStateException("team " + this.team.name() + " would be over its quota");
 		}
 		this.used = this.used.plus(size.times(tasks));
@@ -50,7 +50,7 @@
 	 * @return the largest share of any resource, divided by the weight
 	 */
 	public double weightedShare(Resources cell) {
-		return this.used.largestShareOf(cell) / Math.max(1, this.team.weight());
+		return this.used.dominantShareOf(cell) / Math.max(1, this.team.weight());
 	}
 
 	public Team team() {
--- a/monsoonrelay-model/src/test/java/org/monsoonrelay/model/job/JobFinishTests.java
+++ b/monsoonrelay-model/src/test/java/org/monsoonrelay/model/job/JobFinishTests.java
@@ -24,9 +24,9 @@
 		finish(0, START.plusSeconds(1));
 		assertThat(this.job.finishedAt()).isEmpty();
 		finish(1, START.plusSeconds(2));
-		this.job.noteFinish(START.plusSeconds(3));
+		this.job.recordFinish(START.plusSeconds(3));
 		Job taken = new Job(this.roster, this.job.toRecord("w", 1), 2, START.plusSeconds(9));
-		taken.noteFinish(START.plusSeconds(9));
+		taken.recordFinish(START.plusSeconds(9));
 
 		assertThat(taken.finishedAt()).contains(START.plusSeconds(2));
 	}
@@ -35,14 +35,14 @@
 	void cancelledJobNeverFinished() {
 		finish(0, START.plusSeconds(1));
 		this.job.cancel();
-		this.job.noteFinish(START.plusSeconds(2));
+		this.job.recordFinish(START.plusSeconds(2));
 
 		assertThat(this.job.finishedAt()).isEmpty();
 	}
 
 	private void finish(int task, Instant now) {
-		this.job.finished(this.job.open(task));
-		this.job.noteFinish(now);
+		this.job.markFinished(this.job.openAttempt(task));
+		this.job.recordFinish(now);
 	}
 
 }
--- a/monsoonrelay-model/src/test/java/org/monsoonrelay/model/job/JobRestartTests.java
+++ b/monsoonrelay-model/src/test/java/org/monsoonrelay/model/job/JobRestartTests.java
@@ -19,7 +19,7 @@
 
 	private static Job stopped(WorkloadKind kind) {
 		Job job = new Job(workload(kind), JobRecord.NONE, 1, Instant.EPOCH);
-		job.starting(job.open(0));
+		job.markStarting(job.openAttempt(0));
 		job.cancel();
 		return job;
 	}
@@ -28,17 +28,17 @@
 	void stoppedServiceRunsAgainUnderALaterTextWithHigherAttempts() {
 		Job service = stopped(WorkloadKind.SERVICE);
 		long before = service.tasks().get(0).attempt();
-		service.redeclare(workload(WorkloadKind.SERVICE));
+		service.updateDeclaration(workload(WorkloadKind.SERVICE));
 
-		assertThat(service.placeable(Instant.EPOCH, Integer.MAX_VALUE)).containsExactly(0, 1);
-		assertThat(service.open(0).attempt()).isGreaterThan(before);
+		assertThat(service.placeableTasks(Instant.EPOCH, Integer.MAX_VALUE)).containsExactly(0, 1);
+		assertThat(service.openAttempt(0).attempt()).isGreaterThan(before);
 	}
 
 	@Test
 	void stoppedServiceRunsAgainUnderALaterOwner() {
 		JobRecord record = stopped(WorkloadKind.SERVICE).toRecord("w", 0);
 
-		assertThat(new Job(workload(WorkloadKind.SERVICE), record, 2, Instant.EPOCH).placeable(Instant.EPOCH,
+		assertThat(new Job(workload(WorkloadKind.SERVICE), record, 2, Instant.EPOCH).placeableTasks(Instant.EPOCH,
 				Integer.MAX_VALUE))
 			.containsExactly(0, 1);
 	}
@@ -46,7 +46,7 @@
 	@Test
 	void stoppedBatchRunStaysCancelled() {
 		Job batch = stopped(WorkloadKind.BATCH);
-		batch.redeclare(workload(WorkloadKind.BATCH));
+		batch.updateDeclaration(workload(WorkloadKind.BATCH));
 
 		assertThat(batch.isFinal()).isTrue();
 	}
--- a/monsoonrelay-model/src/test/java/org/monsoonrelay/model/job/JobTests.java
+++ b/monsoonrelay-model/src/test/java/org/monsoonrelay/model/job/JobTests.java
@@ -75,7 +75,7 @@
 				cell.step(step);
 				Map<TaskState, Integer> counted = new HashMap<>();
 				cell.job.tasks().forEach((task) -> counted.merge(task.state(), 1, Integer::sum));
-				assertThat(cell.job.counts()).isEqualTo(counted);
+				assertThat(cell.job.stateCounts()).isEqualTo(counted);
 				assertThat(cell.job.isFinal()).isEqualTo(counted.keySet().stream().allMatch(TaskState::isFinal));
 			}
 		}
@@ -128,8 +128,8 @@
 						deliver(this.mail.get(pick % this.mail.size()));
 					}
 				}
-				case 9 -> this.job.openAttempts().stream().limit(1).forEach(this.job::lapsed);
-				case 10 -> this.job.redeclare(declared(1 + pick % TASKS, this.once));
+				case 9 -> this.job.openAttempts().stream().limit(1).forEach(this.job::markLeaseExpired);
+				case 10 -> this.job.updateDeclaration(declared(1 + pick % TASKS, this.once));
 				default -> {
 					this.epoch++;
 					this.endsTakenIn.clear();
@@ -142,13 +142,13 @@
 
 		private void place() {
 			Instant now = START.plusSeconds(3600);
-			for (int task : this.job.placeable(now, Integer.MAX_VALUE)) {
+			for (int task : this.job.placeableTasks(now, Integer.MAX_VALUE)) {
 				boolean mayRun = this.running.stream().anyMatch((attempt) -> attempt.task() == task)
 						|| this.ordered.stream().anyMatch((attempt) -> attempt.task() == task);
 				this.overlaps += mayRun ? 1 : 0;
-				AttemptId attempt = this.job.open(task);
-				assertThat(this.job.reservedOn(attempt, WORKER, "incarnation-1")).isTrue();
-				assertThat(this.job.starting(attempt)).isTrue();
+				AttemptId attempt = this.job.openAttempt(task);
+				assertThat(this.job.recordReservation(attempt, WORKER, "incarnation-1")).isTrue();
+				assertThat(this.job.markStarting(attempt)).isTrue();
 				this.ordered.add(attempt);
 			}
 			this.durable = this.job.toRecord("write", 1);
@@ -162,10 +162,10 @@
 
 		private void deliver(Message message) {
 			switch (message.kind) {
-				case RUNNING -> this.job.running(message.attempt, WORKER);
-				case FINISHED -> this.job.finished(message.attempt);
-				case FAILED -> this.job.failed(message.attempt, START);
-				case GONE -> this.job.gone(message.attempt);
+				case RUNNING -> this.job.markRunning(message.attempt, WORKER);
+				case FINISHED -> this.job.markFinished(message.attempt);
+				case FAILED -> this.job.markFailed(message.attempt, START);
+				case GONE -> this.job.markNotRunning(message.attempt);
 			}
 			if (message.kind != Kind.RUNNING) {
 				this.endsTakenIn.add(message.attempt);
--- a/monsoonrelay-model/src/test/java/org/monsoonrelay/model/submission/SubmittedJobTests.java
+++ b/monsoonrelay-model/src/test/java/org/monsoonrelay/model/submission/SubmittedJobTests.java
@@ -26,7 +26,7 @@
 
 	private static SubmittedJob restored(SubmittedJob job) {
 		SubmittedJob next = new SubmittedJob(job.submission());
-		next.restore(job.save());
+		next.restore(job.toProgress());
 		return next;
 	}
 
@@ -39,7 +39,7 @@
 			assertThat(job.progress(FIRST).markFailed(0, 2)).isTrue();
 			assertThat(job.progress(FIRST).markFailed(0, 1)).isTrue();
 			assertThat(job.progress(FIRST).markFailed(0, 2)).isFalse();
-			job.settle(FIRST);
+			job.updateState(FIRST);
 			assertThat(job.state()).isEqualTo(SubmissionState.FAILED);
 		}
 
@@ -50,7 +50,7 @@
 			SubmittedJob next = restored(job);
 			assertThat(next.progress(FIRST).markFailed(0, 2)).isFalse();
 			next.progress(FIRST).markFailed(0, 1);
-			next.settle(FIRST);
+			next.updateState(FIRST);
 			assertThat(next.state()).isEqualTo(SubmissionState.FAILED);
 		}
 
@@ -59,7 +59,7 @@
 			SubmittedJob job = job(step(2, false));
 			job.progress(FIRST).markFailed(0, 1);
 			job.progress(FIRST).markFailed(1, 1);
-			job.settle(FIRST);
+			job.updateState(FIRST);
 			assertThat(job.isEnded()).isFalse();
 		}
 
@@ -68,7 +68,7 @@
 			SubmittedJob job = job(step(4, true));
 			job.progress(FIRST).markFailed(0, 1);
 			job.progress(FIRST).markFailed(3, 1);
-			job.settle(FIRST);
+			job.updateState(FIRST);
 			assertThat(job.isEnded()).isFalse();
 		}
 
@@ -81,14 +81,14 @@
 		void needsEveryTaskOfEveryStep() {
 			SubmittedJob job = job(step(2, false), step(3, true, 0));
 			job.progress(FIRST).markDone(0);
-			job.settle(FIRST);
+			job.updateState(FIRST);
 			assertThat(job.isReady(SECOND)).isFalse();
 			job.progress(FIRST).markDone(1);
 			assertThat(job.isReady(SECOND)).isTrue();
-			job.settle(FIRST);
+			job.updateState(FIRST);
 			assertThat(job.isEnded()).isFalse();
 			job.progress(SECOND).markDone(2);
-			job.settle(SECOND);
+			job.updateState(SECOND);
 			assertThat(job.state()).isEqualTo(SubmissionState.COMPLETED);
 		}
 
@@ -96,7 +96,7 @@
 		void isNotUndoneByACancellation() {
 			SubmittedJob job = job(step(1, false));
 			job.progress(FIRST).markDone(0);
-			job.settle(FIRST);
+			job.updateState(FIRST);
 			job.cancel();
 			assertThat(job.state()).isEqualTo(SubmissionState.COMPLETED);
 		}
@@ -121,7 +121,7 @@
 		void stretchTheLongestChain() {
 			SubmittedJob job = job(step(1, false), step(1, false), step(1, false, 0));
 			assertThat(job.submission().deadlineMillis(0)).isEqualTo(1000 + 2 * 200 + 50);
-			assertThat(job.submission().chainMillis(2)).isEqualTo(100);
+			assertThat(job.submission().criticalPathMillis(2)).isEqualTo(100);
 		}
 
 	}
--- a/monsoonrelay-model/src/test/java/org/monsoonrelay/model/worker/WorkerTests.java
+++ b/monsoonrelay-model/src/test/java/org/monsoonrelay/model/worker/WorkerTests.java
@@ -72,7 +72,7 @@
 			assertThat(scenario.worker.reserve(attempt(number), size(number), START)).isTrue();
 			Resources before = scenario.worker.committed();
 
-			assertThat(scenario.worker.report("incarnation-1", Map.of())).isEmpty();
+			assertThat(scenario.worker.applyReport("incarnation-1", Map.of())).isEmpty();
 
 			assertThat(scenario.worker.committed()).isEqualTo(before);
 			assertThat(scenario.worker.incarnation()).isEqualTo("incarnation-2");
@@ -94,7 +94,7 @@
 		private int incarnation;
 
 		void report(int number) {
-			this.worker.report("incarnation-" + number, Map.copyOf(this.running));
+			this.worker.applyReport("incarnation-" + number, Map.copyOf(this.running));
 		}
 
 		boolean apply(int message) {
@@ -106,7 +106,7 @@
 				}
 				case 3, 4 -> this.worker.grant(attempt);
 				case 5 -> this.worker.release(attempt);
-				case 6 -> this.worker.lapse(this.now);
+				case 6 -> this.worker.expireReservations(this.now);
 				case 7 -> this.now = this.now.plusSeconds(message % 7);
 				case 8 -> this.incarnation++;
 				default -> report(this.incarnation);
