--- a/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/http/FormBodies.java
+++ b/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/http/FormBodyPassthrough.java
@@ -10,15 +10,15 @@
  * Keeps the bodies of forms whole: Jooby takes them apart and gives only parts of them
  * back, so their type is hidden from it. Stateless and thread-safe.
  */
-public final class FormBodies {
+public final class FormBodyPassthrough {
 
 	/** Header under which the type of a form's body is hidden. */
 	public static final String HIDDEN_CONTENT_TYPE = "Monsoonrelay-Hidden-Content-Type";
 
-	private FormBodies() {
+	private FormBodyPassthrough() {
 	}
 
-	static void hide(HttpHeaders headers) {
+	static void hideContentType(HttpHeaders headers) {
 		headers.remove(HIDDEN_CONTENT_TYPE);
 		String type = Optional.ofNullable(headers.get(HttpHeaderNames.CONTENT_TYPE)).orElse("");
 		String lower = type.toLowerCase(Locale.ROOT);
--- a/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/http/HttpCall.java
+++ b/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/http/HttpCall.java
@@ -24,7 +24,7 @@
 
 	private static final String SCHEME = "http://";
 
-	private final CompletableFuture<JsonHttpClient.Answer> answer = new CompletableFuture<>();
+	private final CompletableFuture<JsonHttpClient.Response> answer = new CompletableFuture<>();
 
 	private final HttpMethod method;
 
@@ -62,11 +62,11 @@
 		return this.address;
 	}
 
-	CompletableFuture<JsonHttpClient.Answer> answer() {
+	CompletableFuture<JsonHttpClient.Response> answer() {
 		return this.answer;
 	}
 
-	boolean isOver() {
+	boolean isDone() {
 		return this.answer.isDone();
 	}
 
@@ -75,7 +75,7 @@
 	 * @param loop the event loop
 	 * @param late called if the time has run out, after the failure is told
 	 */
-	void begin(EventLoop loop, Runnable late) {
+	void startTimeout(EventLoop loop, Runnable late) {
 		this.timer = loop.schedule(() -> {
 			fail("no answer in " + this.timeout.toMillis() + " ms", null);
 			late.run();
@@ -86,7 +86,7 @@
 	 * The request, which is about to be sent.
 	 * @return its message
 	 */
-	FullHttpRequest request() {
+	FullHttpRequest createRequest() {
 		this.sent = true;
 		FullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, this.method, this.target,
 				Unpooled.wrappedBuffer(this.body));
@@ -98,13 +98,13 @@
 		return request;
 	}
 
-	void complete(JsonHttpClient.Answer given) {
+	void complete(JsonHttpClient.Response given) {
 		this.timer.cancel(false);
 		this.answer.complete(given);
 	}
 
 	void fail(String reason, Throwable cause) {
-		if (!isOver()) {
+		if (!isDone()) {
 			this.timer.cancel(false);
 			this.answer.completeExceptionally(new PlatformException(this.url + ": " + reason, this.sent, cause));
 		}
--- a/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/http/HttpConnection.java
+++ b/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/http/HttpConnection.java
@@ -17,14 +17,14 @@
  */
 final class HttpConnection extends SimpleChannelInboundHandler<FullHttpResponse> {
 
-	private final HttpOrigin origin;
+	private final HttpConnectionPool pool;
 
 	private final Channel channel;
 
 	private HttpCall current;
 
-	HttpConnection(HttpOrigin origin, Channel channel) {
-		this.origin = origin;
+	HttpConnection(HttpConnectionPool pool, Channel channel) {
+		this.pool = pool;
 		this.channel = channel;
 	}
 
@@ -34,7 +34,7 @@
 
 	void send(HttpCall call) {
 		this.current = call;
-		this.channel.writeAndFlush(call.request()).addListener((written) -> {
+		this.channel.writeAndFlush(call.createRequest()).addListener((written) -> {
 			if (!written.isSuccess()) {
 				call.fail(String.valueOf(written.cause().getMessage()), written.cause());
 				close();
@@ -54,8 +54,8 @@
 		HttpCall call = this.current;
 		this.current = null;
 		boolean isWhole = response.decoderResult().isSuccess();
-		if (call != null && isWhole && HttpUtil.isKeepAlive(response) && !call.isOver()) {
-			this.origin.release(this);
+		if (call != null && isWhole && HttpUtil.isKeepAlive(response) && !call.isDone()) {
+			this.pool.release(this);
 		}
 		else {
 			close();
@@ -64,7 +64,7 @@
 			return;
 		}
 		if (isWhole) {
-			call.complete(new JsonHttpClient.Answer(response.status().code(),
+			call.complete(new JsonHttpClient.Response(response.status().code(),
 					response.content().toString(StandardCharsets.UTF_8)));
 		}
 		else {
@@ -81,7 +81,7 @@
 
 	@Override
 	public void channelInactive(ChannelHandlerContext context) {
-		this.origin.forget(this);
+		this.pool.remove(this);
 		if (this.current != null) {
 			this.current.fail("answer was cut", null);
 		}
--- a/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/http/HttpOrigin.java
+++ b/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/http/HttpConnectionPool.java
@@ -22,7 +22,7 @@
  * used first. Finding it doesn't grow with the connections to other addresses.
  * Thread-safe: calls are handed to the event loop, to which all else is confined.
  */
-final class HttpOrigin {
+final class HttpConnectionPool {
 
 	/** An idle connection is closed after this long, seconds. */
 	private static final int IDLE_SECONDS = 60;
@@ -38,19 +38,19 @@
 
 	private final Deque<HttpConnection> idle = new ArrayDeque<>();
 
-	private final Semaphore idlePlaces;
+	private final Semaphore idlePermits;
 
 	/**
-	 * Create an origin.
+	 * Create an pool.
 	 * @param address the address
 	 * @param loop the event loop of its connections
 	 * @param connectTimeout the longest time to connect
-	 * @param idlePlaces how many connections more may be idle, here and elsewhere
+	 * @param idlePermits how many connections more may be idle, here and elsewhere
 	 */
-	HttpOrigin(HostAddress address, EventLoop loop, Duration connectTimeout, Semaphore idlePlaces) {
+	HttpConnectionPool(HostAddress address, EventLoop loop, Duration connectTimeout, Semaphore idlePermits) {
 		this.address = address;
 		this.loop = loop;
-		this.idlePlaces = idlePlaces;
+		this.idlePermits = idlePermits;
 		this.bootstrap = new Bootstrap().group(loop)
 			.channel(NioSocketChannel.class)
 			.option(ChannelOption.TCP_NODELAY, true)
@@ -77,19 +77,19 @@
 			connection = takeIdle();
 		}
 		if (connection != null) {
-			call.begin(this.loop, connection::close);
+			call.startTimeout(this.loop, connection::close);
 			connection.send(call);
 			return;
 		}
 		ChannelFuture connecting = this.bootstrap.connect(this.address.host(), this.address.port());
-		call.begin(this.loop, () -> connecting.channel().close());
+		call.startTimeout(this.loop, () -> connecting.channel().close());
 		connecting.addListener((done) -> connected(connecting, call));
 	}
 
 	private HttpConnection takeIdle() {
 		HttpConnection connection = this.idle.pollLast();
 		if (connection != null) {
-			this.idlePlaces.release();
+			this.idlePermits.release();
 		}
 		return connection;
 	}
@@ -98,7 +98,7 @@
 		if (!connecting.isSuccess()) {
 			call.fail(String.valueOf(connecting.cause().getMessage()), connecting.cause());
 		}
-		else if (!call.isOver()) {
+		else if (!call.isDone()) {
 			connecting.channel().pipeline().get(HttpConnection.class).send(call);
 		}
 	}
@@ -108,7 +108,7 @@
 	 * @param connection the connection
 	 */
 	void release(HttpConnection connection) {
-		if (this.idlePlaces.tryAcquire()) {
+		if (this.idlePermits.tryAcquire()) {
 			this.idle.addLast(connection);
 		}
 		else {
@@ -120,9 +120,9 @@
 	 * Use a connection no more.
 	 * @param connection the connection
 	 */
-	void forget(HttpConnection connection) {
+	void remove(HttpConnection connection) {
 		if (this.idle.remove(connection)) {
-			this.idlePlaces.release();
+			this.idlePermits.release();
 		}
 	}
 
@@ -134,7 +134,7 @@
 				.addLast(new IdleStateHandler(0, 0, IDLE_SECONDS))
 				.addLast(new HttpClientCodec())
 				.addLast(new HttpObjectAggregator(MAXIMUM_ANSWER_BYTES))
-				.addLast(new HttpConnection(HttpOrigin.this, channel));
+				.addLast(new HttpConnection(HttpConnectionPool.this, channel));
 		}
 
 	}
--- a/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/http/HttpServer.java
+++ b/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/http/HttpServer.java
@@ -17,7 +17,7 @@
  */
 public final class HttpServer implements AutoCloseable {
 
-	private static final Duration RECEIVE_WITHIN = Duration.ofSeconds(10);
+	private static final Duration RECEIVE_TIMEOUT = Duration.ofSeconds(10);
 
 	private static final int IO_THREADS = 4;
 
@@ -42,19 +42,19 @@
 	 * @param routes adds the routes
 	 */
 	public HttpServer(HostAddress address, int maximumBodyBytes, Consumer<Jooby> routes) {
-		this(address, maximumBodyBytes, RECEIVE_WITHIN, routes);
+		this(address, maximumBodyBytes, RECEIVE_TIMEOUT, routes);
 	}
 
 	/**
 	 * Create a server.
 	 * @param address where to listen
 	 * @param maximumBodyBytes the largest request body accepted
-	 * @param receiveWithin how long a request may take from its first byte to its last
+	 * @param receiveTimeout how long a request may take from its first byte to its last
 	 * @param routes adds the routes
 	 */
-	public HttpServer(HostAddress address, int maximumBodyBytes, Duration receiveWithin, Consumer<Jooby> routes) {
+	public HttpServer(HostAddress address, int maximumBodyBytes, Duration receiveTimeout, Consumer<Jooby> routes) {
 		this.address = address;
-		this.limits = new RequestLimits(maximumBodyBytes, receiveWithin);
+		this.limits = new RequestLimits(maximumBodyBytes, receiveTimeout);
 		ServerOptions options = new ServerOptions();
 		options.setHost(address.host());
 		options.setPort(address.port());
--- a/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/http/JsonHttpClient.java
+++ b/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/http/JsonHttpClient.java
@@ -44,11 +44,11 @@
 
 	private static final String JSON = "application/json";
 
-	private final Map<HostAddress, HttpOrigin> origins = new ConcurrentHashMap<>();
+	private final Map<HostAddress, HttpConnectionPool> pools = new ConcurrentHashMap<>();
 
 	private final Deque<HttpCall> waiting = new ArrayDeque<>();
 
-	private final Semaphore idlePlaces;
+	private final Semaphore idlePermits;
 
 	private final Duration connectTimeout;
 
@@ -68,7 +68,7 @@
 		this.connectTimeout = connectTimeout;
 		this.callTimeout = callTimeout;
 		this.maximumCalls = maximumCalls;
-		this.idlePlaces = new Semaphore(IDLE_FACTOR * maximumCalls);
+		this.idlePermits = new Semaphore(IDLE_FACTOR * maximumCalls);
 	}
 
 	/**
@@ -76,7 +76,7 @@
 	 * @param url the URL
 	 * @return the answer; fails with {@link PlatformException} if none came whole
 	 */
-	public CompletableFuture<Answer> get(String url) {
+	public CompletableFuture<Response> get(String url) {
 		return get(url, Duration.ZERO);
 	}
 
@@ -86,7 +86,7 @@
 	 * @param timeout the longest time for the exchange
 	 * @return the answer; fails with {@link PlatformException} if none came whole
 	 */
-	public CompletableFuture<Answer> get(String url, Duration timeout) {
+	public CompletableFuture<Response> get(String url, Duration timeout) {
 		return call(new HttpCall(HttpMethod.GET, url, NO_BODY, Map.of(), longest(timeout)));
 	}
 
@@ -96,7 +96,7 @@
 	 * @param body the body
 	 * @return the answer; fails with {@link PlatformException} if none came whole
 	 */
-	public CompletableFuture<Answer> put(String url, String body) {
+	public CompletableFuture<Response> put(String url, String body) {
 		Map<String, String> headers = Map.of(CONTENT_TYPE, JSON);
 		return call(
 				new HttpCall(HttpMethod.PUT, url, body.getBytes(StandardCharsets.UTF_8), headers, this.callTimeout));
@@ -110,7 +110,7 @@
 	 * @param timeout the longest time for the exchange, zero for the client's
 	 * @return the answer; fails with {@link PlatformException} if none came whole
 	 */
-	public CompletableFuture<Answer> post(String url, byte[] body, Map<String, String> headers, Duration timeout) {
+	public CompletableFuture<Response> post(String url, byte[] body, Map<String, String> headers, Duration timeout) {
 		Map<String, String> all = new HashMap<>(headers);
 		all.put(CONTENT_TYPE, JSON);
 		return call(new HttpCall(HttpMethod.POST, url, body, all, longest(timeout)));
@@ -120,7 +120,7 @@
 		return timeout.isZero() ? this.callTimeout : timeout;
 	}
 
-	private CompletableFuture<Answer> call(HttpCall call) {
+	private CompletableFuture<Response> call(HttpCall call) {
 		call.answer().whenComplete((answer, failure) -> ended());
 		if (mayBegin(call)) {
 			begin(call);
@@ -153,9 +153,9 @@
 	}
 
 	private void begin(HttpCall call) {
-		this.origins
+		this.pools
 			.computeIfAbsent(call.address(),
-					(address) -> new HttpOrigin(address, GROUP.next(), this.connectTimeout, this.idlePlaces))
+					(address) -> new HttpConnectionPool(address, GROUP.next(), this.connectTimeout, this.idlePermits))
 			.send(call);
 	}
 
@@ -165,7 +165,7 @@
 	 * @param code the status
 	 * @param body the body
 	 */
-	public record Answer(int code, String body) {
+	public record Response(int code, String body) {
 
 		private static final int OK = 200;
 
--- a/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/http/RequestGuard.java
+++ b/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/http/RequestGuard.java
@@ -61,11 +61,11 @@
 	 * Note that bytes have arrived that may begin a request.
 	 * @param context the context of this handler
 	 */
-	void bytesArrived(ChannelHandlerContext context) {
+	void onBytesReceived(ChannelHandlerContext context) {
 		if (this.receiveTimeout == null && !this.answering && !this.closing) {
 			this.receiveTimeout = context.executor()
 				.schedule(() -> refuse(context, HttpResponseStatus.REQUEST_TIMEOUT),
-						this.limits.receiveWithin().toMillis(), TimeUnit.MILLISECONDS);
+						this.limits.receiveTimeout().toMillis(), TimeUnit.MILLISECONDS);
 		}
 	}
 
@@ -122,12 +122,12 @@
 		this.bodyBytes = 0;
 		this.receiving = true;
 		this.answering = true;
-		bytesArrived(context);
+		onBytesReceived(context);
 		if (HttpUtil.is100ContinueExpected(request)) {
 			context.writeAndFlush(new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE,
 					Unpooled.EMPTY_BUFFER));
 		}
-		FormBodies.hide(request.headers());
+		FormBodyPassthrough.hideContentType(request.headers());
 		return true;
 	}
 
--- a/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/http/RequestGuardInstaller.java
+++ b/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/http/RequestGuardInstaller.java
@@ -64,7 +64,7 @@
 			channel.pipeline().addFirst("request-start", new ChannelInboundHandlerAdapter() {
 				@Override
 				public void channelRead(ChannelHandlerContext first, Object bytes) {
-					guard.bytesArrived(context);
+					guard.onBytesReceived(context);
 					first.fireChannelRead(bytes);
 				}
 			});
--- a/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/http/RequestLimits.java
+++ b/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/http/RequestLimits.java
@@ -6,8 +6,8 @@
  * What a server accepts as a request. Immutable.
  *
  * @param maximumBodyBytes the largest body
- * @param receiveWithin time from the first byte of a request to its last
+ * @param receiveTimeout time from the first byte of a request to its last
  */
-record RequestLimits(int maximumBodyBytes, Duration receiveWithin) {
+record RequestLimits(int maximumBodyBytes, Duration receiveTimeout) {
 
 }
--- a/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/http/SentMark.java
+++ b/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/http/RequestSendTracker.java
@@ -11,7 +11,7 @@
  * connection that was open before. Used by one call; written by the call's thread before
  * its result is read.
  */
-public final class SentMark extends EventListener {
+public final class RequestSendTracker extends EventListener {
 
 	private volatile boolean mayHaveSent;
 
@@ -39,7 +39,7 @@
 	 * Whether the call went over a connection that was open before.
 	 * @return {@code true} if so
 	 */
-	public boolean isOverOpenConnection() {
+	public boolean isOnReusedConnection() {
 		return !this.connected;
 	}
 
--- a/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/logging/DecisionMetrics.java
+++ b/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/logging/DecisionMetrics.java
@@ -147,7 +147,7 @@
 	}
 
 	private void note(String name, long value) {
-		this.spans.computeIfAbsent(name, (key) -> RecentValues.histogram(this.metrics, key)).update(value);
+		this.spans.computeIfAbsent(name, (key) -> SlidingWindowHistograms.getOrCreate(this.metrics, key)).update(value);
 	}
 
 }
--- a/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/logging/DecisionWriter.java
+++ b/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/logging/DecisionWriter.java
@@ -84,7 +84,7 @@
 	}
 
 	private void leaveOut(Decision decision) {
-		this.leftOut.merge(LineBudget.event(decision), 1L, Long::sum);
+		this.leftOut.merge(LineBudget.eventName(decision), 1L, Long::sum);
 	}
 
 	/**
@@ -97,7 +97,7 @@
 			return;
 		}
 		List<byte[]> encoded = new ArrayList<>();
-		BitSet chosen = LineBudget.choose(lines.stream().map(Stamped::decision).toList());
+		BitSet chosen = LineBudget.select(lines.stream().map(Stamped::decision).toList());
 		for (int i = 0; i < lines.size(); i++) {
 			Stamped line = lines.get(i);
 			if (!chosen.get(i)) {
@@ -106,7 +106,7 @@
 			}
 			ObjectNode node = this.mapper.createObjectNode()
 				.put("at", line.atMillis())
-				.put("event", LineBudget.event(line.decision()));
+				.put("event", LineBudget.eventName(line.decision()));
 			node.setAll((ObjectNode) this.mapper.valueToTree(line.decision()));
 			encoded.add(bytes(node));
 		}
--- a/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/logging/JsonLinesConfigurator.java
+++ b/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/logging/JsonLinesConfigurator.java
@@ -15,9 +15,9 @@
 
 /**
  * Configures logging in code: JSON lines on standard error, bounded by the
- * {@link FloodFilter}. A file named by {@code logback.configurationFile} goes before it.
- * Reading an XML file for this would add a tenth to a start. Confined to the thread that
- * first logs.
+ * {@link LogRateLimitFilter}. A file named by {@code logback.configurationFile} goes
+ * before it. Reading an XML file for this would add a tenth to a start. Confined to the
+ * thread that first logs.
  */
 @ConfiguratorRank(ConfiguratorRank.CUSTOM_HIGH_PRIORITY)
 public final class JsonLinesConfigurator extends ContextAwareBase implements Configurator {
@@ -38,7 +38,7 @@
 		if (System.getProperty(FILE_PROPERTY) != null) {
 			return ExecutionStatus.INVOKE_NEXT_IF_ANY;
 		}
-		FloodFilter flood = new FloodFilter();
+		LogRateLimitFilter flood = new LogRateLimitFilter();
 		flood.setLinesPerWindow(LINES_PER_WINDOW);
 		flood.setContext(loggers);
 		flood.start();
--- a/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/logging/LineBudget.java
+++ b/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/logging/LineBudget.java
@@ -16,10 +16,10 @@
 final class LineBudget {
 
 	/** Lines that an event may write in a period whatever the others do. */
-	static final int LINES_PER_EVENT = 30;
+	static final int GUARANTEED_LINES_PER_EVENT = 30;
 
 	/** Lines in a period; more only where each event is within its own share. */
-	static final int LINES = 150;
+	static final int MAX_LINES = 150;
 
 	private LineBudget() {
 	}
@@ -29,27 +29,27 @@
 	 * @param decisions the decisions of a period, in order
 	 * @return the places of those to write
 	 */
-	static BitSet choose(List<Decision> decisions) {
+	static BitSet select(List<Decision> decisions) {
 		BitSet chosen = new BitSet(decisions.size());
 		Map<String, Integer> written = new HashMap<>();
 		List<Integer> outcomes = new ArrayList<>();
 		List<Integer> rest = new ArrayList<>();
 		for (int i = 0; i < decisions.size(); i++) {
 			Decision decision = decisions.get(i);
-			if (written.merge(event(decision), 1, Integer::sum) <= LINES_PER_EVENT) {
+			if (written.merge(eventName(decision), 1, Integer::sum) <= GUARANTEED_LINES_PER_EVENT) {
 				chosen.set(i);
 			}
 			else {
 				(decision.reportsFinalOutcome() ? outcomes : rest).add(i);
 			}
 		}
-		int left = Math.max(0, LINES - chosen.cardinality());
+		int left = Math.max(0, MAX_LINES - chosen.cardinality());
 		outcomes.addAll(rest);
 		outcomes.stream().limit(left).forEach(chosen::set);
 		return chosen;
 	}
 
-	static String event(Decision decision) {
+	static String eventName(Decision decision) {
 		return decision.getClass().getSimpleName();
 	}
 
--- a/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/logging/FloodFilter.java
+++ b/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/logging/LogRateLimitFilter.java
@@ -16,7 +16,7 @@
  * Limits how many lines a logger writes at a level within a time, so that a fault which
  * repeats does not flood the logs. What is dropped is counted. Thread-safe.
  */
-public final class FloodFilter extends TurboFilter {
+public final class LogRateLimitFilter extends TurboFilter {
 
 	private static final AtomicLong DROPPED = new AtomicLong();
 
@@ -28,11 +28,11 @@
 
 	private int linesPerWindow = 20;
 
-	public FloodFilter() {
+	public LogRateLimitFilter() {
 		this(System::nanoTime);
 	}
 
-	FloodFilter(LongSupplier nanoTime) {
+	LogRateLimitFilter(LongSupplier nanoTime) {
 		this.nanoTime = nanoTime;
 	}
 
@@ -48,7 +48,7 @@
 	 * Number of lines dropped in this process so far.
 	 * @return the count
 	 */
-	public static long dropped() {
+	public static long droppedCount() {
 		return DROPPED.get();
 	}
 
--- a/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/logging/RecentValues.java
+++ b/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/logging/SlidingWindowHistograms.java
@@ -8,12 +8,12 @@
  * Histograms of the most recent values: a value costs a write into an array. Stateless
  * and thread-safe.
  */
-public final class RecentValues {
+public final class SlidingWindowHistograms {
 
 	/** Values that are kept; a percentile of 99.8 still rests on one of its own. */
 	private static final int KEPT = 512;
 
-	private RecentValues() {
+	private SlidingWindowHistograms() {
 	}
 
 	/**
@@ -22,7 +22,7 @@
 	 * @param name its name
 	 * @return the histogram
 	 */
-	public static Histogram histogram(MetricRegistry metrics, String name) {
+	public static Histogram getOrCreate(MetricRegistry metrics, String name) {
 		return metrics.histogram(name, () -> new Histogram(new SlidingWindowReservoir(KEPT)));
 	}
 
--- a/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/node/ControlFollower.java
+++ b/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/node/ControlFollower.java
@@ -57,7 +57,7 @@
 	 * @param peer the peer
 	 * @param version its version
 	 */
-	public void announced(PeerNetwork network, HostAddress peer, long version) {
+	public void handleAnnouncement(PeerNetwork network, HostAddress peer, long version) {
 		this.follower.announced(version, () -> {
 			Envelope.Builder request = Envelope.newBuilder().setStateRequest(StateRequest.getDefaultInstance());
 			return network.request(peer, request, TIMEOUT).thenApply((reply) -> decode(reply.getStateReply()));
@@ -73,7 +73,7 @@
 	 * Answer a peer that asks for the version in force here.
 	 * @return the reply
 	 */
-	public Envelope.Builder state() {
+	public Envelope.Builder createStateReply() {
 		InForce present = this.tracker.inForce();
 		return Envelope.newBuilder()
 			.setStateReply(StateReply.newBuilder()
--- a/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/node/HostListFollower.java
+++ b/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/node/HostListFollower.java
@@ -84,7 +84,7 @@
 	 * @param request the peer's request
 	 * @return the reply
 	 */
-	public Envelope.Builder reply(HostsRequest request) {
+	public Envelope.Builder createReply(HostsRequest request) {
 		HostList present = this.newest;
 		HostsReply.Builder reply = HostsReply.newBuilder();
 		if (present.version() > request.getKnownVersion()) {
--- a/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/node/NodeSettings.java
+++ b/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/node/NodeSettings.java
@@ -33,7 +33,7 @@
 		}
 	}
 
-	public HostAddress peer() {
+	public HostAddress peerListenAddress() {
 		return HostAddress.parse(this.peerAddress);
 	}
 
--- a/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/node/ProcessMetrics.java
+++ b/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/node/ProcessMetrics.java
@@ -6,7 +6,7 @@
 import com.codahale.metrics.Gauge;
 import com.codahale.metrics.MetricRegistry;
 import com.sun.management.OperatingSystemMXBean;
-import org.monsoonrelay.adapters.logging.FloodFilter;
+import org.monsoonrelay.adapters.logging.LogRateLimitFilter;
 import org.monsoonrelay.logic.control.ControlTracker;
 
 /**
@@ -31,7 +31,7 @@
 		gauge(metrics, "process.uptime.seconds",
 				() -> ManagementFactory.getRuntimeMXBean().getUptime() / (double) TimeUnit.SECONDS.toMillis(1));
 		gauge(metrics, "process.heap.bytes", () -> ManagementFactory.getMemoryMXBean().getHeapMemoryUsage().getUsed());
-		gauge(metrics, "log.lines.dropped", FloodFilter::dropped);
+		gauge(metrics, "log.lines.dropped", LogRateLimitFilter::droppedCount);
 	}
 
 	private static void gauge(MetricRegistry metrics, String name, Gauge<?> value) {
--- a/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/platform/HttpBackendClient.java
+++ b/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/platform/HttpBackendClient.java
@@ -26,7 +26,7 @@
 import okhttp3.Response;
 import okhttp3.internal.http.HttpHeaders;
 import okhttp3.internal.http.HttpMethod;
-import org.monsoonrelay.adapters.http.SentMark;
+import org.monsoonrelay.adapters.http.RequestSendTracker;
 import org.monsoonrelay.logic.routing.AttemptResult;
 import org.monsoonrelay.logic.routing.BackendClient;
 import org.monsoonrelay.logic.routing.ForwardedRequest;
@@ -98,7 +98,7 @@
 		dispatcher.setMaxRequestsPerHost(Integer.MAX_VALUE);
 		this.base = new OkHttpClient.Builder().dispatcher(dispatcher)
 			.socketFactory(new CountingSocketFactory())
-			.eventListenerFactory((call) -> call.request().tag(SentMark.class))
+			.eventListenerFactory((call) -> call.request().tag(RequestSendTracker.class))
 			.addNetworkInterceptor(new SingleExchange())
 			.proxy(Proxy.NO_PROXY)
 			.retryOnConnectionFailure(false)
@@ -112,7 +112,7 @@
 
 	@Override
 	public CompletableFuture<AttemptResult> send(HostAddress server, ForwardedRequest request, Instant giveUpAt) {
-		SentMark sent = new SentMark();
+		RequestSendTracker sent = new RequestSendTracker();
 		Request toSend;
 		try {
 			toSend = toHttp(server, request, sent);
@@ -146,9 +146,9 @@
 	}
 
 	private AttemptResult judge(ServerConnections pooled, ServerConnections.Generation generation, Instant begun,
-			SentMark sent, AttemptResult ended) {
+			RequestSendTracker sent, AttemptResult ended) {
 		if (ended instanceof AttemptResult.Incomplete broken && broken.timedOut()) {
-			boolean silent = sent.isOverOpenConnection() && pooled.areSilent(generation, begun);
+			boolean silent = sent.isOnReusedConnection() && pooled.areSilent(generation, begun);
 			if (silent) {
 				// Once for all connections that were open then.
 				this.suspicions.compareAndSet(generation.suspicions(), generation.suspicions() + 1);
@@ -179,7 +179,7 @@
 		});
 	}
 
-	private static Request toHttp(HostAddress server, ForwardedRequest request, SentMark sent) {
+	private static Request toHttp(HostAddress server, ForwardedRequest request, RequestSendTracker sent) {
 		HttpUrl url = HttpUrl.get(server.url())
 			.newBuilder()
 			.addPathSegment(request.operation().name())
@@ -196,11 +196,11 @@
 		return new Request.Builder().url(url)
 			.headers(headers.build())
 			.method(request.method(), hasBody ? RequestBody.create(request.body()) : null)
-			.tag(SentMark.class, sent)
+			.tag(RequestSendTracker.class, sent)
 			.build();
 	}
 
-	private static AttemptResult failure(SentMark sent, IOException ex) {
+	private static AttemptResult failure(RequestSendTracker sent, IOException ex) {
 		return sent.mayHaveSent() ? broken(ex) : new AttemptResult.NotSent(String.valueOf(ex.getMessage()));
 	}
 
--- a/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/platform/HttpCalls.java
+++ b/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/platform/HttpCalls.java
@@ -40,7 +40,7 @@
 		return this.client.put(url, body).thenApply((answer) -> checked(url, answer));
 	}
 
-	private static Answer checked(String url, JsonHttpClient.Answer answer) {
+	private static Answer checked(String url, JsonHttpClient.Response answer) {
 		int code = answer.code();
 		if (answer.isSuccess() || code == NOT_FOUND || code == CONFLICT) {
 			return new Answer(code, answer.body());
--- a/monsoonrelay-adapters/src/test/java/org/monsoonrelay/adapters/http/JsonHttpClientTests.java
+++ b/monsoonrelay-adapters/src/test/java/org/monsoonrelay/adapters/http/JsonHttpClientTests.java
@@ -29,7 +29,7 @@
 
 	private final JsonHttpClient client = new JsonHttpClient(AMPLE, AMPLE, MANY);
 
-	private static PlatformException failure(CompletableFuture<JsonHttpClient.Answer> answer) {
+	private static PlatformException failure(CompletableFuture<JsonHttpClient.Response> answer) {
 		try {
 			throw new AssertionError("answered " + answer.join());
 		}
@@ -38,7 +38,7 @@
 		}
 	}
 
-	private CompletableFuture<JsonHttpClient.Answer> post(RawServer server, String body, Duration timeout) {
+	private CompletableFuture<JsonHttpClient.Response> post(RawServer server, String body, Duration timeout) {
 		return this.client.post(server.address().url() + "/api/hold", body.getBytes(StandardCharsets.UTF_8),
 				Map.of("X-Life", "i-1"), timeout);
 	}
@@ -63,11 +63,11 @@
 					connection.write(RawServer.answer("{\"e\":1}"));
 				}
 			})) {
-				JsonHttpClient.Answer answer = post(server, "{\"a\":1}", AMPLE).join();
+				JsonHttpClient.Response answer = post(server, "{\"a\":1}", AMPLE).join();
 				JsonHttpClientTests.this.client.put(server.address().url() + "/api/o?name=a%2Fb", "x").join();
 				JsonHttpClientTests.this.client.get(server.address().url()).join();
 
-				assertThat(answer).isEqualTo(new JsonHttpClient.Answer(200, "{\"e\":1}"));
+				assertThat(answer).isEqualTo(new JsonHttpClient.Response(200, "{\"e\":1}"));
 				assertThat(server.requests().get(0)).startsWith("POST /api/hold HTTP/1.1\n")
 					.contains("X-Life: i-1\n")
 					.contains("Host: " + server.address() + "\n")
@@ -119,8 +119,8 @@
 				connection.write(RawServer.answer(""));
 			})) {
 				JsonHttpClient single = new JsonHttpClient(AMPLE, AMPLE, 1);
-				CompletableFuture<JsonHttpClient.Answer> first = single.get(slow.address().url());
-				CompletableFuture<JsonHttpClient.Answer> next = single.get(server.address().url());
+				CompletableFuture<JsonHttpClient.Response> first = single.get(slow.address().url());
+				CompletableFuture<JsonHttpClient.Response> next = single.get(server.address().url());
 				assertThat(next).isNotDone();
 				assertThat(server.requests()).isEmpty();
 				second.countDown();
@@ -138,7 +138,7 @@
 				await(all);
 				connection.write(RawServer.answer(""));
 			})) {
-				List<CompletableFuture<JsonHttpClient.Answer>> held = new ArrayList<>();
+				List<CompletableFuture<JsonHttpClient.Response>> held = new ArrayList<>();
 				for (int i = 0; i < MANY; i++) {
 					held.add(post(server, "", AMPLE));
 				}
--- a/monsoonrelay-adapters/src/test/java/org/monsoonrelay/adapters/logging/LogLinesTests.java
+++ b/monsoonrelay-adapters/src/test/java/org/monsoonrelay/adapters/logging/LogLinesTests.java
@@ -69,7 +69,7 @@
 
 		@Test
 		void ofOneLoggerIsCutAndCountedAndOthersGoOn() {
-			long before = FloodFilter.dropped();
+			long before = LogRateLimitFilter.droppedCount();
 			List<JsonNode> lines = lines((logger) -> {
 				for (int count = 0; count < 1000; count++) {
 					logger.warn("the platform does not answer, try {}", count);
@@ -79,13 +79,13 @@
 
 			assertThat(lines).hasSize(21);
 			assertThat(lines.get(20).path("message").asText()).isEqualTo("another level");
-			assertThat(FloodFilter.dropped() - before).isEqualTo(980);
+			assertThat(LogRateLimitFilter.droppedCount() - before).isEqualTo(980);
 		}
 
 		@Test
 		void mayWriteAgainInTheNextWindow() {
 			LoggerContext context = new LoggerContext();
-			FloodFilter filter = new FloodFilter(() -> LogLinesTests.this.now);
+			LogRateLimitFilter filter = new LogRateLimitFilter(() -> LogLinesTests.this.now);
 			filter.setLinesPerWindow(1);
 			context.addTurboFilter(filter);
 			Logger logger = context.getLogger("test");
--- a/monsoonrelay-gateway/src/main/java/org/monsoonrelay/gateway/CallerHeaders.java
+++ b/monsoonrelay-gateway/src/main/java/org/monsoonrelay/gateway/CallerHeaders.java
@@ -9,7 +9,7 @@
 import java.util.Set;
 
 import io.jooby.Context;
-import org.monsoonrelay.adapters.http.FormBodies;
+import org.monsoonrelay.adapters.http.FormBodyPassthrough;
 import org.monsoonrelay.adapters.platform.HttpBackendClient;
 import org.monsoonrelay.model.request.RequestOutcome.HeaderLine;
 
@@ -51,7 +51,8 @@
 		List<HeaderLine> headers = new ArrayList<>();
 		context.header().toMultimap().forEach((name, values) -> {
 			if (!NOT_FORWARDED.contains(name.toLowerCase(Locale.ROOT))) {
-				String forwardedName = name.equalsIgnoreCase(FormBodies.HIDDEN_CONTENT_TYPE) ? "Content-Type" : name;
+				String forwardedName = name.equalsIgnoreCase(FormBodyPassthrough.HIDDEN_CONTENT_TYPE) ? "Content-Type"
+						: name;
 				values.forEach((value) -> headers.add(new HeaderLine(forwardedName, decodeUtf8(value))));
 			}
 		});
--- a/monsoonrelay-gateway/src/main/java/org/monsoonrelay/gateway/Gateway.java
+++ b/monsoonrelay-gateway/src/main/java/org/monsoonrelay/gateway/Gateway.java
@@ -94,7 +94,7 @@
 		this.callerRoutes = new CallerRoutes(this.services, clock, () -> UUID.randomUUID().toString(), metrics,
 				new UnknownOutcomeLog(clock));
 		PeerIdentity self = new PeerIdentity(this.session, ROLE, settings.node().failureDomain(),
-				settings.node().peer());
+				settings.node().peerListenAddress());
 		this.network = new PeerNetwork(self, settings.node().secret(), this::handle);
 		this.callers = new HttpServer(settings.caller(), MAXIMUM_BODY_BYTES, (application) -> {
 			this.callerDrain.addTo(application);
@@ -149,13 +149,13 @@
 
 	private CompletableFuture<Envelope.Builder> handle(PeerIdentity from, Envelope request) {
 		if (request.hasAnnouncement()) {
-			this.follower.announced(this.network, from.address(), request.getAnnouncement().getVersion());
+			this.follower.handleAnnouncement(this.network, from.address(), request.getAnnouncement().getVersion());
 			this.services.markLeaving(Set.copyOf(request.getAnnouncement().getLeavingBackendServersList()));
 		}
 		if (request.hasHostsRequest()) {
-			return CompletableFuture.completedFuture(this.hostList.reply(request.getHostsRequest()));
+			return CompletableFuture.completedFuture(this.hostList.createReply(request.getHostsRequest()));
 		}
-		Envelope.Builder reply = request.hasStateRequest() ? this.follower.state()
+		Envelope.Builder reply = request.hasStateRequest() ? this.follower.createStateReply()
 				: Envelope.newBuilder().setEmpty(Empty.getDefaultInstance());
 		return CompletableFuture.completedFuture(reply);
 	}
--- a/monsoonrelay-scheduler/src/main/java/org/monsoonrelay/scheduler/SchedulerNode.java
+++ b/monsoonrelay-scheduler/src/main/java/org/monsoonrelay/scheduler/SchedulerNode.java
@@ -137,15 +137,15 @@
 		this.rackManager = new RackManager(new HttpWorkerAgents(WORKER_TIMEOUT), this.control, time, System::nanoTime,
 				Duration.ofMillis(settings.workerLeaseMillis()));
 		PeerIdentity self = new PeerIdentity(this.session, ROLE, settings.node().failureDomain(),
-				settings.node().peer());
+				settings.node().peerListenAddress());
 		this.network = new PeerNetwork(self, settings.node().secret(), this::handle);
 		PeerRackOwners owners = new PeerRackOwners(this.session, this.rackManager, this.racks, this.peers, this.network,
 				time);
 		this.queueManager = new QueueManager(owners, this.racks, (onConflict) -> new JobRecordStore(table, this.control,
 				() -> UUID.randomUUID().toString(), onConflict, this.jobRowBudget), this.control, time);
 		this.ownership = new OwnershipKeeper(
-				new SessionRecord(this.session, settings.node().failureDomain(), settings.node().peer()), table,
-				this.control, System::nanoTime, Duration.ofMillis(settings.sessionLapseMillis()),
+				new SessionRecord(this.session, settings.node().failureDomain(), settings.node().peerListenAddress()),
+				table, this.control, System::nanoTime, Duration.ofMillis(settings.sessionLapseMillis()),
 				this::ownershipChanged);
 		this.activation = new QueueActivation(System::nanoTime, this.queueManager::isActive,
 				this.queueManager::activate, this::claimQueue);
@@ -299,14 +299,14 @@
 	private CompletableFuture<Envelope.Builder> handle(PeerIdentity from, Envelope request) {
 		if (request.hasAnnouncement()) {
 			Announcement announcement = request.getAnnouncement();
-			this.follower.announced(this.network, from.address(), announcement.getVersion());
+			this.follower.handleAnnouncement(this.network, from.address(), announcement.getVersion());
 			this.control.execute(() -> announcementReceived(announcement));
 		}
 		if (request.hasHostsRequest()) {
-			return CompletableFuture.completedFuture(this.hostListFollower.reply(request.getHostsRequest()));
+			return CompletableFuture.completedFuture(this.hostListFollower.createReply(request.getHostsRequest()));
 		}
 		if (request.hasStateRequest()) {
-			return CompletableFuture.completedFuture(this.follower.state());
+			return CompletableFuture.completedFuture(this.follower.createStateReply());
 		}
 		return this.requestHandler.handle(request);
 	}
