--- a/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/node/ControlFollower.java
+++ b/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/node/ControlFollower.java
@@ -8,10 +8,10 @@
 import org.monsoonrelay.adapters.peer.generated.PeerMessages.Envelope;
 import org.monsoonrelay.adapters.peer.generated.PeerMessages.StateReply;
 import org.monsoonrelay.adapters.peer.generated.PeerMessages.StateRequest;
+import org.monsoonrelay.logic.control.ActiveControlState;
 import org.monsoonrelay.logic.control.ControlLog;
 import org.monsoonrelay.logic.control.ControlTracker;
 import org.monsoonrelay.logic.control.ControlVersion;
-import org.monsoonrelay.logic.control.InForce;
 import org.monsoonrelay.logic.control.VersionFollower;
 import org.monsoonrelay.logic.platform.Json;
 import org.monsoonrelay.model.control.ControlHead;
@@ -37,7 +37,7 @@
 		tracker.onChange(ControlFollower::logChange);
 	}
 
-	private static void logChange(InForce next) {
+	private static void logChange(ActiveControlState next) {
 		LogFields.of(LogFields.VERSION, next.head().version())
 			.run(() -> LOGGER.log(System.Logger.Level.INFO, "a new version is in force"));
 	}
@@ -58,7 +58,7 @@
 	 * @param version its version
 	 */
 	public void handleAnnouncement(PeerNetwork network, HostAddress peer, long version) {
-		this.follower.announced(version, () -> {
+		this.follower.handleAnnouncement(version, () -> {
 			Envelope.Builder request = Envelope.newBuilder().setStateRequest(StateRequest.getDefaultInstance());
 			return network.request(peer, request, TIMEOUT).thenApply((reply) -> decode(reply.getStateReply()));
 		});
@@ -74,7 +74,7 @@
 	 * @return the reply
 	 */
 	public Envelope.Builder createStateReply() {
-		InForce present = this.tracker.inForce();
+		ActiveControlState present = this.tracker.activeState();
 		return Envelope.newBuilder()
 			.setStateReply(StateReply.newBuilder()
 				.setVersion(present.head().version())
--- a/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/node/ProcessMetrics.java
+++ b/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/node/ProcessMetrics.java
@@ -26,7 +26,7 @@
 	 * @param tracker the version in force
 	 */
 	public static void addTo(MetricRegistry metrics, ControlTracker tracker) {
-		gauge(metrics, "control.version", () -> tracker.inForce().head().version());
+		gauge(metrics, "control.version", () -> tracker.activeState().head().version());
 		gauge(metrics, "process.cpu.seconds", ProcessMetrics::processorSeconds);
 		gauge(metrics, "process.uptime.seconds",
 				() -> ManagementFactory.getRuntimeMXBean().getUptime() / (double) TimeUnit.SECONDS.toMillis(1));
--- a/monsoonrelay-benchmarks/src/main/java/org/monsoonrelay/benchmarks/capacity/SampleCell.java
+++ b/monsoonrelay-benchmarks/src/main/java/org/monsoonrelay/benchmarks/capacity/SampleCell.java
@@ -5,9 +5,9 @@
 import java.util.Map;
 import java.util.UUID;
 
+import org.monsoonrelay.logic.control.ActiveControlState;
 import org.monsoonrelay.logic.control.ControlTracker;
 import org.monsoonrelay.logic.control.Digest;
-import org.monsoonrelay.logic.control.InForce;
 import org.monsoonrelay.logic.platform.HostList;
 import org.monsoonrelay.logic.platform.Json;
 import org.monsoonrelay.model.capacity.Resources;
@@ -101,10 +101,10 @@
 	 * @param text the text
 	 * @return what is in force then
 	 */
-	static InForce inForce(String text) {
+	static ActiveControlState inForce(String text) {
 		ControlTracker tracker = new ControlTracker();
 		tracker.offer(new ControlHead(1, Digest.of(text), "edit"), ControlState.NONE.withText(text, 1));
-		return tracker.inForce();
+		return tracker.activeState();
 	}
 
 }
--- a/monsoonrelay-benchmarks/src/main/java/org/monsoonrelay/benchmarks/capacity/SampleScheduler.java
+++ b/monsoonrelay-benchmarks/src/main/java/org/monsoonrelay/benchmarks/capacity/SampleScheduler.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.Executor;
 
 import org.apache.commons.rng.simple.RandomSource;
-import org.monsoonrelay.logic.control.InForce;
+import org.monsoonrelay.logic.control.ActiveControlState;
 import org.monsoonrelay.logic.placement.Reservation;
 import org.monsoonrelay.logic.placement.ReservationRequest;
 import org.monsoonrelay.logic.queue.JobRecordStore;
@@ -54,7 +54,7 @@
 
 	private long writeIds;
 
-	SampleScheduler(int workerCount, InForce inForce) {
+	SampleScheduler(int workerCount, ActiveControlState inForce) {
 		InstantSource clock = InstantSource.system();
 		this.racks = new RackManager(this.workers, this.executor, clock, System::nanoTime, LEASE);
 		this.queues = new QueueManager(new OwnRacks(), this.directory, (onConflict) -> new JobRecordStore(this.platform,
--- a/monsoonrelay-benchmarks/src/main/java/org/monsoonrelay/benchmarks/capacity/SchedulerSlopes.java
+++ b/monsoonrelay-benchmarks/src/main/java/org/monsoonrelay/benchmarks/capacity/SchedulerSlopes.java
@@ -3,7 +3,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-import org.monsoonrelay.logic.control.InForce;
+import org.monsoonrelay.logic.control.ActiveControlState;
 
 /**
  * What the scheduler's control state takes in memory and processor time. Stateless.
@@ -44,7 +44,7 @@
 	 * @return the slope
 	 */
 	static Slope heapByWorkers() {
-		InForce nothing = SampleCell.inForce(SampleCell.text(SampleCell.team(0), 0, 1, false, RUN_MILLIS));
+		ActiveControlState nothing = SampleCell.inForce(SampleCell.text(SampleCell.team(0), 0, 1, false, RUN_MILLIS));
 		return Meter.heap(WORKERS, (count) -> {
 			SampleScheduler scheduler = new SampleScheduler(count, nothing);
 			scheduler.workers().clear();
@@ -58,7 +58,7 @@
 	 * @return the slope
 	 */
 	static Slope heapByRunningJobs() {
-		Map<Integer, InForce> texts = new HashMap<>();
+		Map<Integer, ActiveControlState> texts = new HashMap<>();
 		for (int jobs : JOBS) {
 			texts.put(jobs, jobs(SampleCell.team(0), jobs));
 		}
@@ -82,7 +82,7 @@
 	 * @return the slope
 	 */
 	static Slope placementByRacks() {
-		InForce text = jobs(SampleCell.team(0), PLACED_JOBS);
+		ActiveControlState text = jobs(SampleCell.team(0), PLACED_JOBS);
 		for (int round = 0; round < WARM_UPS; round++) {
 			placement(text, ALL_WORKERS[0]);
 		}
@@ -91,7 +91,7 @@
 				(count) -> Meter.least(ROUNDS, (round) -> placement(text, count * SampleCell.WORKERS_A_RACK)));
 	}
 
-	private static double placement(InForce text, int workers) {
+	private static double placement(ActiveControlState text, int workers) {
 		SampleScheduler scheduler = new SampleScheduler(workers, text);
 		long nanos = Meter.processorNanos(scheduler.queues()::tick);
 		return (double) nanos / (PLACED_JOBS * TASKS_A_JOB);
@@ -138,15 +138,15 @@
 		return Meter.least(TICKS, (round) -> Meter.processorNanos(work));
 	}
 
-	private static InForce jobs(String team, int jobs) {
+	private static ActiveControlState jobs(String team, int jobs) {
 		return SampleCell.inForce(SampleCell.text(team, jobs, TASKS_A_JOB, false, RUN_MILLIS));
 	}
 
-	private static SampleScheduler running(InForce text) {
+	private static SampleScheduler running(ActiveControlState text) {
 		return running(text, WORKERS[0]);
 	}
 
-	private static SampleScheduler running(InForce text, int workers) {
+	private static SampleScheduler running(ActiveControlState text, int workers) {
 		SampleScheduler scheduler = new SampleScheduler(workers, text);
 		scheduler.tick();
 		scheduler.heartbeat();
--- a/monsoonrelay-cli/src/main/java/org/monsoonrelay/cli/ReportCommand.java
+++ b/monsoonrelay-cli/src/main/java/org/monsoonrelay/cli/ReportCommand.java
@@ -38,7 +38,7 @@
 		OperatorClient client = this.connection.client();
 		CellStatus status = client.status();
 		List<TargetVerdict> verdicts = new TargetJudge(status, this.clock.instant())
-			.judge(new CellTextParser().accepted(client.state().text()));
+			.judge(new CellTextParser().parseAccepted(client.state().text()));
 		CellReport report = CellReport.of(status, verdicts);
 		if (this.output.isJson()) {
 			this.output.json(report);
--- a/monsoonrelay-cli/src/main/java/org/monsoonrelay/cli/StatusCommand.java
+++ b/monsoonrelay-cli/src/main/java/org/monsoonrelay/cli/StatusCommand.java
@@ -65,7 +65,7 @@
 	}
 
 	private List<Workload> declared(OperatorClient client) {
-		return new CellTextParser().accepted(client.state().text())
+		return new CellTextParser().parseAccepted(client.state().text())
 			.workloads()
 			.stream()
 			.filter((workload) -> this.name == null || workload.id().name().equals(this.name))
--- a/monsoonrelay-gateway/src/main/java/org/monsoonrelay/gateway/Gateway.java
+++ b/monsoonrelay-gateway/src/main/java/org/monsoonrelay/gateway/Gateway.java
@@ -119,7 +119,7 @@
 		if (this.callerDrain.isStopping()) {
 			return Optional.of("stopping");
 		}
-		if (this.tracker.inForce().head().version() == 0) {
+		if (this.tracker.activeState().head().version() == 0) {
 			return Optional.of("no text is in force yet");
 		}
 		return this.services.hasHosts() ? Optional.empty() : Optional.of("the host list has not been read yet");
@@ -135,7 +135,7 @@
 				.setRole(ROLE)
 				.setAddress(this.settings.node().peerAddress())
 				.setFailureDomain(this.settings.node().failureDomain())
-				.setVersion(this.tracker.inForce().head().version())
+				.setVersion(this.tracker.activeState().head().version())
 				.addAllLeavingBackendServers(this.services.leavingIncarnations()));
 		for (HostAddress peer : this.settings.node().peerAddresses()) {
 			this.network.tell(peer, announcement.clone());
--- a/monsoonrelay-gateway/src/main/java/org/monsoonrelay/gateway/GatewayServices.java
+++ b/monsoonrelay-gateway/src/main/java/org/monsoonrelay/gateway/GatewayServices.java
@@ -60,7 +60,7 @@
 	}
 
 	Optional<ServiceDeclaration> declaration(String service) {
-		return this.tracker.inForce().text().service(service);
+		return this.tracker.activeState().text().service(service);
 	}
 
 	/**
--- a/monsoonrelay-gateway/src/main/java/org/monsoonrelay/gateway/jobs/JobGateway.java
+++ b/monsoonrelay-gateway/src/main/java/org/monsoonrelay/gateway/jobs/JobGateway.java
@@ -23,7 +23,7 @@
 import org.monsoonrelay.logic.pool.PoolClock;
 import org.monsoonrelay.logic.submission.JobStates;
 import org.monsoonrelay.logic.submission.JobTables;
-import org.monsoonrelay.logic.submission.StorageWatch;
+import org.monsoonrelay.logic.submission.StorageAvailabilityMonitor;
 import org.monsoonrelay.logic.submission.SubmissionService;
 import org.monsoonrelay.model.host.HostAddress;
 import org.monsoonrelay.platform.ConfigurationFeed;
@@ -85,7 +85,7 @@
 
 	private final TableFollower statesFollower;
 
-	private final StorageWatch storage;
+	private final StorageAvailabilityMonitor storage;
 
 	private final SubmissionService service;
 
@@ -109,12 +109,12 @@
 			PeerNetwork network, MetricRegistry metrics, DecisionLog log, UnreadableRows unreadable) {
 		this.settings = settings;
 		this.configuration = configuration;
-		this.storage = new StorageWatch(this::probeTable, System::nanoTime, log);
+		this.storage = new StorageAvailabilityMonitor(this::probeTable, System::nanoTime, log);
 		this.table = table;
-		this.drain = new CallerDrain(System::nanoTime, this.storage::isAble);
+		this.drain = new CallerDrain(System::nanoTime, this.storage::isAvailable);
 		JobStates jobStates = new JobStates(unreadable);
 		this.ownerLink = new OwnerLink(settings.peerAddress(), network, jobStates, System::nanoTime, log,
-				this.storage::heard);
+				this.storage::recordResponse);
 		this.statesFollower = new TableFollower(this.table, JobTables.PROGRESS, List.of(JobTables.POOL_PARTITION),
 				this::stateReadInterval, this.timer, jobStates);
 		this.service = new SubmissionService(this.table, jobStates, this.ownerLink, this.ownerLink, this.storage,
@@ -133,8 +133,8 @@
 	 * Note that the table has answered something.
 	 */
 	public void tableAnswered() {
-		this.storage.heard();
-		this.service.tableAnswered();
+		this.storage.recordResponse();
+		this.service.recordTableResponse();
 	}
 
 	private Duration stateReadInterval() {
@@ -148,7 +148,7 @@
 	private void probeTable() {
 		this.table.read(JobTables.HOSTS, "", AFTER_LAST_HOST, 1).whenComplete((page, failure) -> {
 			if (failure != null) {
-				this.storage.questionFailed();
+				this.storage.recordFailedProbe();
 			}
 		});
 	}
@@ -168,7 +168,7 @@
 		if (this.configuration.inForce().version() == 0) {
 			return Optional.of("no configuration is in force yet");
 		}
-		if (!this.storage.isAble()) {
+		if (!this.storage.isAvailable()) {
 			return Optional.of("jobs cannot be stored");
 		}
 		return this.configuration.isReachable() ? Optional.empty() : Optional.of("the table does not answer");
@@ -179,7 +179,7 @@
 	 */
 	public void start() {
 		this.statesFollower.start();
-		this.timer.scheduleWithFixedDelay(this.storage::check, STORAGE_CHECK_MILLIS, STORAGE_CHECK_MILLIS,
+		this.timer.scheduleWithFixedDelay(this.storage::probeIfDue, STORAGE_CHECK_MILLIS, STORAGE_CHECK_MILLIS,
 				TimeUnit.MILLISECONDS);
 		this.readiness.start();
 		this.callers.start();
--- a/monsoonrelay-gateway/src/main/java/org/monsoonrelay/gateway/jobs/OwnerLink.java
+++ b/monsoonrelay-gateway/src/main/java/org/monsoonrelay/gateway/jobs/OwnerLink.java
@@ -29,7 +29,7 @@
 import org.monsoonrelay.logic.submission.JobTables;
 import org.monsoonrelay.logic.submission.QueueCount;
 import org.monsoonrelay.logic.submission.QueueSummary;
-import org.monsoonrelay.logic.submission.StoredListener;
+import org.monsoonrelay.logic.submission.StoredJobListener;
 import org.monsoonrelay.model.host.HostAddress;
 import org.monsoonrelay.model.submission.Submission;
 import org.monsoonrelay.model.submission.SubmissionState;
@@ -40,7 +40,7 @@
  * between. Beside a table that takes 250 ms for a call each of the two ways saves as
  * much. Nothing depends on a message: the feeds bring everything as well. Thread-safe.
  */
-final class OwnerLink implements StoredListener, CommitRelay {
+final class OwnerLink implements StoredJobListener, CommitRelay {
 
 	/**
 	 * How long the last heartbeat of an owner counts, milliseconds; one is sent about
@@ -130,13 +130,13 @@
 	}
 
 	@Override
-	public void accepted(Submission submission, long version) {
+	public void jobAccepted(Submission submission, long version) {
 		send(Envelope.newBuilder()
 			.setJobAccepted(JobAccepted.newBuilder().setSubmissionJson(Json.write(submission)).setVersion(version)));
 	}
 
 	@Override
-	public void cancelled(String job) {
+	public void jobCancelled(String job) {
 		send(Envelope.newBuilder().setJobCancelled(JobCancelled.newBuilder().setJob(job)));
 	}
 
@@ -243,7 +243,7 @@
 		Optional<QueueCount> pending = Optional
 			.of(new QueueCount(new QueueSummary(update.getPendingMap()), update.getCountedVersion()))
 			.filter((count) -> count.version() > 0);
-		this.states.told(stateByJob, pending);
+		this.states.applyOwnerUpdate(stateByJob, pending);
 	}
 
 	private record Owner(long epoch, HostAddress address, long version, long firstHeartbeatNanos, long heartbeatNanos) {
--- a/monsoonrelay-gateway/src/test/java/org/monsoonrelay/gateway/jobs/OwnerLinkTests.java
+++ b/monsoonrelay-gateway/src/test/java/org/monsoonrelay/gateway/jobs/OwnerLinkTests.java
@@ -141,11 +141,11 @@
 	@Test
 	void jobsAndCancellationsGoToTheOwnerThatWasHeardOf() throws InterruptedException {
 		receiveHeartbeat(3);
-		this.link.accepted(job("a"), 17);
+		this.link.jobAccepted(job("a"), 17);
 		Envelope accepted = this.received.poll(10, TimeUnit.SECONDS);
 		assertThat(accepted.getJobAccepted().getVersion()).isEqualTo(17);
 		assertThat(accepted.getJobAccepted().getSubmissionJson()).contains("\"a\"");
-		this.link.cancelled("a");
+		this.link.jobCancelled("a");
 		assertThat(this.received.poll(10, TimeUnit.SECONDS).getJobCancelled().getJob()).isEqualTo("a");
 	}
 
@@ -156,9 +156,9 @@
 		assertThat(this.link.isOwnerResponsive()).isTrue();
 		this.nowNanos += TimeUnit.SECONDS.toNanos(1);
 		assertThat(this.link.isOwnerResponsive()).isFalse();
-		this.link.accepted(job("late"), 1);
+		this.link.jobAccepted(job("late"), 1);
 		receiveHeartbeat(3);
-		this.link.accepted(job("a"), 2);
+		this.link.jobAccepted(job("a"), 2);
 		assertThat(this.received.poll(10, TimeUnit.SECONDS).getJobAccepted().getVersion()).isEqualTo(2);
 	}
 
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/control/InForce.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/control/ActiveControlState.java
@@ -11,11 +11,12 @@
  * @param state the state of the version
  * @param text the text in it
  */
-public record InForce(ControlHead head, ControlState state, CellText text) {
+public record ActiveControlState(ControlHead head, ControlState state, CellText text) {
 
 	/**
 	 * Before the first version.
 	 */
-	public static final InForce NOTHING = new InForce(ControlHead.NONE, ControlState.NONE, CellText.EMPTY);
+	public static final ActiveControlState NONE = new ActiveControlState(ControlHead.NONE, ControlState.NONE,
+			CellText.EMPTY);
 
 }
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/control/AuditTrail.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/control/AuditTrail.java
@@ -32,7 +32,7 @@
 	 * @param entry the entry
 	 * @return the write, for the edit's own transaction
 	 */
-	static ConditionalWrite accepted(EditRecord entry) {
+	static ConditionalWrite acceptedEntry(EditRecord entry) {
 		return new ConditionalWrite(TableKeys.edit(entry.version()), Json.write(entry), ConditionalWrite.ABSENT);
 	}
 
@@ -41,8 +41,8 @@
 	 * @param entry the entry
 	 * @return completes, never exceptionally, when it is written or cannot be
 	 */
-	CompletableFuture<Void> turnedDown(EditRecord entry) {
-		String key = TableKeys.turnedDown(entry.version(), entry.editId());
+	CompletableFuture<Void> recordRejected(EditRecord entry) {
+		String key = TableKeys.rejectedEdit(entry.version(), entry.editId());
 		return this.table.commit(List.of(new ConditionalWrite(key, Json.write(entry), ConditionalWrite.ABSENT)))
 			.handle((result, failure) -> null);
 	}
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/control/PackedState.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/control/CompressedState.java
@@ -16,12 +16,12 @@
  * The form in which a state lies in the object store: compressed, because every process
  * fetches it after each change. Stateless and thread-safe.
  */
-final class PackedState {
+final class CompressedState {
 
-	private PackedState() {
+	private CompressedState() {
 	}
 
-	static String pack(ControlState state) {
+	static String compress(ControlState state) {
 		ByteArrayOutputStream bytes = new ByteArrayOutputStream();
 		try (GZIPOutputStream packed = new GZIPOutputStream(bytes)) {
 			packed.write(Json.write(state).getBytes(StandardCharsets.UTF_8));
@@ -34,11 +34,11 @@
 
 	/**
 	 * Read a packed state.
-	 * @param content what {@link #pack} gave
+	 * @param content what {@link #compress} gave
 	 * @return the state
 	 * @throws IllegalArgumentException if the content is something else
 	 */
-	static ControlState unpack(String content) {
+	static ControlState decompress(String content) {
 		byte[] bytes = Base64.getDecoder().decode(content);
 		try (GZIPInputStream packed = new GZIPInputStream(new ByteArrayInputStream(bytes))) {
 			return Json.read(new String(packed.readAllBytes(), StandardCharsets.UTF_8), ControlState.class);
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/control/ControlLog.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/control/ControlLog.java
@@ -98,7 +98,7 @@
 			return CompletableFuture.completedFuture(ControlState.NONE);
 		}
 		return this.objects.get(OBJECT_PREFIX + head.stateDigest())
-			.thenApply((content) -> content.map(PackedState::unpack)
+			.thenApply((content) -> content.map(CompressedState::decompress)
 				.orElseThrow(() -> new PlatformException("object is missing: " + head.stateDigest(), false, null)));
 	}
 
@@ -132,7 +132,7 @@
 			boolean staleRead = expected.getAsLong() > textVersion;
 			return (staleRead && tries.left() > 1) ? attempt(edit, tries.next()) : conflict(edit, present);
 		}
-		List<TextFault> faults = new TargetCheck(present.state(), this.parser.accepted(present.state().text()))
+		List<TextFault> faults = new TargetCheck(present.state(), this.parser.parseAccepted(present.state().text()))
 			.faults(edit.kind(), edit.targets());
 		if (!faults.isEmpty()) {
 			return refuse(edit, present.head(), faults);
@@ -154,11 +154,11 @@
 	}
 
 	private CompletableFuture<EditOutcome> write(Edit edit, Tries tries, Present present, ControlState next) {
-		String content = PackedState.pack(next);
+		String content = CompressedState.compress(next);
 		ControlHead head = new ControlHead(present.head().version() + 1, Digest.of(content), edit.editId());
 		List<ConditionalWrite> writes = List.of(
 				new ConditionalWrite(TableKeys.HEAD, Json.write(head), present.rowVersion()),
-				AuditTrail.accepted(entry(edit, head, EditResult.ACCEPTED)),
+				AuditTrail.acceptedEntry(entry(edit, head, EditResult.ACCEPTED)),
 				new ConditionalWrite(TableKeys.editId(edit.editId()), Json.write(head), ConditionalWrite.ABSENT));
 		return this.objects.put(OBJECT_PREFIX + head.stateDigest(), content)
 			.thenCompose((stored) -> this.table.commit(writes)
@@ -189,13 +189,13 @@
 					.completedFuture(new EditOutcome.Unavailable("no text of the expected version is in force"));
 			}
 			EditRecord winner = Json.read(row.get().value(), EditRecord.class);
-			return this.trail.turnedDown(entry(edit, present.head(), EditResult.CONFLICT))
+			return this.trail.recordRejected(entry(edit, present.head(), EditResult.CONFLICT))
 				.thenApply((done) -> new EditOutcome.Conflict(winner));
 		});
 	}
 
 	private CompletableFuture<EditOutcome> refuse(Edit edit, ControlHead head, List<TextFault> faults) {
-		return this.trail.turnedDown(entry(edit, head, EditResult.REFUSED))
+		return this.trail.recordRejected(entry(edit, head, EditResult.REFUSED))
 			.thenApply((done) -> new EditOutcome.Invalid(faults));
 	}
 
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/control/ControlTracker.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/control/ControlTracker.java
@@ -16,9 +16,9 @@
 
 	private final CellTextParser parser = new CellTextParser();
 
-	private final CopyOnWriteArrayList<Consumer<InForce>> listeners = new CopyOnWriteArrayList<>();
+	private final CopyOnWriteArrayList<Consumer<ActiveControlState>> listeners = new CopyOnWriteArrayList<>();
 
-	private volatile InForce inForce = InForce.NOTHING;
+	private volatile ActiveControlState active = ActiveControlState.NONE;
 
 	/**
 	 * Put a version in force unless the present one is at least as high.
@@ -27,11 +27,11 @@
 	 * @return {@code true} if it came into force now
 	 */
 	public synchronized boolean offer(ControlHead head, ControlState state) {
-		if (head.version() <= this.inForce.head().version()) {
+		if (head.version() <= this.active.head().version()) {
 			return false;
 		}
-		InForce next = new InForce(head, state, this.parser.accepted(state.text()));
-		this.inForce = next;
+		ActiveControlState next = new ActiveControlState(head, state, this.parser.parseAccepted(state.text()));
+		this.active = next;
 		this.listeners.forEach((listener) -> listener.accept(next));
 		return true;
 	}
@@ -40,15 +40,15 @@
 	 * What is in force now.
 	 * @return the highest version offered so far
 	 */
-	public InForce inForce() {
-		return this.inForce;
+	public ActiveControlState activeState() {
+		return this.active;
 	}
 
 	/**
 	 * Be told of each new version, on the thread that offers it.
 	 * @param listener the listener
 	 */
-	public void onChange(Consumer<InForce> listener) {
+	public void onChange(Consumer<ActiveControlState> listener) {
 		this.listeners.add(listener);
 	}
 
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/control/VersionFollower.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/control/VersionFollower.java
@@ -51,7 +51,7 @@
 	 * @return completes, never exceptionally, when the version is in force or cannot be
 	 * had
 	 */
-	public CompletableFuture<Void> announced(long version, Supplier<CompletableFuture<ControlVersion>> fetch) {
+	public CompletableFuture<Void> handleAnnouncement(long version, Supplier<CompletableFuture<ControlVersion>> fetch) {
 		if (!isHigher(version)) {
 			return CompletableFuture.completedFuture(null);
 		}
@@ -61,7 +61,7 @@
 	}
 
 	private boolean isHigher(long version) {
-		return version > this.tracker.inForce().head().version();
+		return version > this.tracker.activeState().head().version();
 	}
 
 	private static CompletableFuture<Void> once(AtomicBoolean busy, Supplier<CompletableFuture<Void>> reading,
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/membership/OwnershipKeeper.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/membership/OwnershipKeeper.java
@@ -52,7 +52,7 @@
 
 	private final Listener listener;
 
-	private final SessionWatch watch;
+	private final SessionLivenessTracker watch;
 
 	private Set<String> knownLive = Set.of();
 
@@ -65,20 +65,20 @@
 	private boolean stopping;
 
 	public OwnershipKeeper(SessionRecord self, TableService table, Executor control, LongSupplier monotonicNanos,
-			Duration lapse, Listener listener) {
+			Duration expiry, Listener listener) {
 		this.self = self;
 		this.table = table;
 		this.control = control;
 		this.monotonicNanos = monotonicNanos;
 		this.listener = listener;
-		this.watch = new SessionWatch(lapse);
+		this.watch = new SessionLivenessTracker(expiry);
 	}
 
 	/**
 	 * One round: read who is alive, renew the session, take over what has no live owner.
 	 * @param wanted what has to be owned, by key of its row, with its failure domain
 	 */
-	public void round(Map<String, String> wanted) {
+	public void runRound(Map<String, String> wanted) {
 		if (this.busy || this.stopping) {
 			return;
 		}
@@ -167,7 +167,7 @@
 		new TreeMap<>(wanted).forEach((key, domain) -> {
 			Optional<Row> row = Optional.ofNullable(owners.get(key));
 			Ownership owned = row.map((found) -> Json.read(found.value(), Ownership.class)).orElse(Ownership.NONE);
-			this.listener.owner(key, owned, owned.session().equals(this.self.session()));
+			this.listener.onOwnership(key, owned, owned.session().equals(this.self.session()));
 			OwnershipPlan.successor(key, domain, owned, live)
 				.filter((successor) -> successor.session().equals(this.self.session()))
 				.ifPresent((successor) -> claims.add(new Claim(key, owned.transferredTo(this.self.session()),
@@ -184,7 +184,7 @@
 				.toList();
 			this.table.commit(writes).whenCompleteAsync((result, failure) -> {
 				if (result instanceof CommitResult.Committed) {
-					batch.forEach((claim) -> this.listener.owner(claim.key(), claim.next(), true));
+					batch.forEach((claim) -> this.listener.onOwnership(claim.key(), claim.next(), true));
 					LOGGER.log(System.Logger.Level.INFO, "took over {0} ownerships", batch.size());
 				}
 				else {
@@ -219,7 +219,7 @@
 		 * @param ownership the ownership
 		 * @param own whether it is this instance's
 		 */
-		void owner(String key, Ownership ownership, boolean own);
+		void onOwnership(String key, Ownership ownership, boolean own);
 
 	}
 
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/membership/SessionWatch.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/membership/SessionLivenessTracker.java
@@ -17,16 +17,16 @@
  * seen for the first time counts as alive. Not thread-safe: confined to the control
  * thread.
  */
-public final class SessionWatch {
+public final class SessionLivenessTracker {
 
 	private static final int MINIMUM_READINGS = 5;
 
-	private final long lapseNanos;
+	private final long expiryNanos;
 
 	private final Map<String, Seen> seen = new HashMap<>();
 
-	public SessionWatch(Duration lapse) {
-		this.lapseNanos = lapse.toNanos();
+	public SessionLivenessTracker(Duration expiry) {
+		this.expiryNanos = expiry.toNanos();
 	}
 
 	/**
@@ -53,14 +53,14 @@
 	public List<SessionRecord> live(long nowNanos) {
 		return this.seen.values()
 			.stream()
-			.filter((entry) -> !entry.record.hasEnded() && !hasLapsed(entry, nowNanos))
+			.filter((entry) -> !entry.record.hasEnded() && !hasExpired(entry, nowNanos))
 			.map(Seen::record)
 			.sorted(Comparator.comparing(SessionRecord::session))
 			.toList();
 	}
 
-	private boolean hasLapsed(Seen entry, long nowNanos) {
-		return entry.unchanged >= MINIMUM_READINGS && nowNanos - entry.changedNanos >= this.lapseNanos;
+	private boolean hasExpired(Seen entry, long nowNanos) {
+		return entry.unchanged >= MINIMUM_READINGS && nowNanos - entry.changedNanos >= this.expiryNanos;
 	}
 
 	/**
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/platform/OnThread.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/platform/ExecutorCallback.java
@@ -8,9 +8,9 @@
  * failure of the callback is the executor's to handle and is not lost in a future that
  * nobody reads. Stateless and thread-safe.
  */
-public final class OnThread {
+public final class ExecutorCallback {
 
-	private OnThread() {
+	private ExecutorCallback() {
 	}
 
 	/**
@@ -20,7 +20,7 @@
 	 * @param callback takes the value or the failure
 	 * @return the callback to register
 	 */
-	public static <T> BiConsumer<T, Throwable> of(Executor executor, BiConsumer<? super T, Throwable> callback) {
+	public static <T> BiConsumer<T, Throwable> on(Executor executor, BiConsumer<? super T, Throwable> callback) {
 		return (value, failure) -> executor.execute(() -> callback.accept(value, failure));
 	}
 
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/platform/SteadyClock.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/platform/MonotonicInstantSource.java
@@ -9,7 +9,7 @@
  * clock. A wall clock that is set, forth or back, moves no deadline of the process.
  * Immutable and thread-safe.
  */
-public final class SteadyClock implements InstantSource {
+public final class MonotonicInstantSource implements InstantSource {
 
 	private final LongSupplier monotonicNanos;
 
@@ -17,7 +17,7 @@
 
 	private final long startNanos;
 
-	public SteadyClock(InstantSource wallClock, LongSupplier monotonicNanos) {
+	public MonotonicInstantSource(InstantSource wallClock, LongSupplier monotonicNanos) {
 		this.monotonicNanos = monotonicNanos;
 		this.start = wallClock.instant();
 		this.startNanos = monotonicNanos.getAsLong();
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/platform/TableFollower.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/platform/TableFollower.java
@@ -137,7 +137,7 @@
 			return;
 		}
 		int ofGeneration = this.generation;
-		changesSoFar().whenComplete(OnThread.of(this.executor, (changes, failure) -> {
+		changesSoFar().whenComplete(ExecutorCallback.on(this.executor, (changes, failure) -> {
 			if (ofGeneration != this.generation) {
 				return;
 			}
@@ -172,7 +172,7 @@
 			return;
 		}
 		read(partition, "", new PartitionRows(new ArrayList<>(), Long.MAX_VALUE))
-			.whenComplete(OnThread.of(this.executor, (loaded, failure) -> {
+			.whenComplete(ExecutorCallback.on(this.executor, (loaded, failure) -> {
 				if (this.closed || ofGeneration != this.generation) {
 					return;
 				}
@@ -229,7 +229,7 @@
 		if (this.closed) {
 			return;
 		}
-		question.get().whenComplete(OnThread.of(this.executor, (changes, failure) -> {
+		question.get().whenComplete(ExecutorCallback.on(this.executor, (changes, failure) -> {
 			if (failure != null) {
 				failed(failure, () -> ask(question));
 				return;
@@ -277,14 +277,14 @@
 	private void answered() {
 		if (this.failing) {
 			this.failing = false;
-			this.listener.back();
+			this.listener.onAvailable();
 		}
 	}
 
 	private void failed(Throwable failure, Runnable again) {
 		if (!this.failing) {
 			this.failing = true;
-			this.listener.lost(failure);
+			this.listener.onUnavailable(failure);
 		}
 		this.executor.schedule(again, RETRY_MILLIS, TimeUnit.MILLISECONDS);
 	}
@@ -315,13 +315,13 @@
 		 * Calls have begun to fail.
 		 * @param failure the first failure
 		 */
-		default void lost(Throwable failure) {
+		default void onUnavailable(Throwable failure) {
 		}
 
 		/**
 		 * Calls succeed again.
 		 */
-		default void back() {
+		default void onAvailable() {
 		}
 
 		/**
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/platform/TableKeys.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/platform/TableKeys.java
@@ -53,7 +53,7 @@
 	 * @param editId the edit
 	 * @return the key
 	 */
-	public static String turnedDown(long version, String editId) {
+	public static String rejectedEdit(long version, String editId) {
 		return edit(version) + '/' + editId;
 	}
 
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/platform/UnreadableRows.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/platform/UnreadableRows.java
@@ -53,11 +53,11 @@
 	public <T> Optional<T> read(TableRow row, Class<T> type) {
 		try {
 			T value = Json.readRow(row.value(), type);
-			forget(row);
+			clear(row);
 			return Optional.of(value);
 		}
 		catch (JsonProcessingException ex) {
-			note(row, ex.getOriginalMessage());
+			report(row, ex.getOriginalMessage());
 			return Optional.empty();
 		}
 	}
@@ -67,7 +67,7 @@
 	 * @param row the row
 	 * @param reason why
 	 */
-	public void note(TableRow row, String reason) {
+	public void report(TableRow row, String reason) {
 		this.count.incrementAndGet();
 		String told = bounded(String.valueOf(reason));
 		if (!told.equals(this.reasons.put(name(row), told))) {
@@ -79,7 +79,7 @@
 	 * Note that a row could be read, or is gone.
 	 * @param row the row
 	 */
-	public void forget(TableRow row) {
+	public void clear(TableRow row) {
 		if (!this.reasons.isEmpty()) {
 			this.reasons.remove(name(row));
 		}
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/EligibilityTracker.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/EligibilityTracker.java
@@ -18,7 +18,7 @@
 
 import org.monsoonrelay.logic.events.DecisionLog;
 import org.monsoonrelay.logic.events.JobDecision;
-import org.monsoonrelay.logic.platform.OnThread;
+import org.monsoonrelay.logic.platform.ExecutorCallback;
 import org.monsoonrelay.model.submission.EligibilityTimes;
 import org.monsoonrelay.model.submission.StepKey;
 
@@ -194,7 +194,7 @@
 		Duration timeout = Duration
 			.ofMillis((long) (TIMEOUT_FACTOR * this.hostSelector.outstandingMillis(host) + TIMEOUT_MARGIN_MILLIS));
 		this.client.requestTickets(host, request.step(), request.workers(), timeout)
-			.whenComplete(OnThread.of(this.control, (tickets, failure) -> {
+			.whenComplete(ExecutorCallback.on(this.control, (tickets, failure) -> {
 				this.inFlight--;
 				this.hostSelector.callEnded(host, request.costMillis());
 				StepEligibility known = this.eligibilityByStep.get(request.step());
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/JobTableReplica.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/JobTableReplica.java
@@ -210,7 +210,7 @@
 		Optional<JobProgress> saved = Optional.ofNullable(this.progress.get(id)).map(StoredProgress::progress);
 		if (saved.filter((progress) -> !progress.matches(stored.submission())).isPresent()) {
 			this.unreadableProgress.add(id);
-			this.unreadable.note(new TableRow(JobTables.PROGRESS, JobTables.POOL_PARTITION, id, "", 0, false),
+			this.unreadable.report(new TableRow(JobTables.PROGRESS, JobTables.POOL_PARTITION, id, "", 0, false),
 					"is not the progress of this job");
 			return;
 		}
@@ -276,7 +276,7 @@
 		private Optional<Submission> read(TableRow row) {
 			Optional<Submission> read = JobTableReplica.this.unreadable.read(row, Submission.class);
 			if (read.filter((submission) -> !submission.id().equals(row.key())).isPresent()) {
-				JobTableReplica.this.unreadable.note(row, "names another job");
+				JobTableReplica.this.unreadable.report(row, "names another job");
 				return Optional.empty();
 			}
 			return read;
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/OwnerElection.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/OwnerElection.java
@@ -10,8 +10,8 @@
 import org.monsoonrelay.logic.events.DecisionLog;
 import org.monsoonrelay.logic.events.PoolDecision;
 import org.monsoonrelay.logic.events.ProcessDecision;
+import org.monsoonrelay.logic.platform.ExecutorCallback;
 import org.monsoonrelay.logic.platform.Json;
-import org.monsoonrelay.logic.platform.OnThread;
 import org.monsoonrelay.logic.platform.PartitionCommit;
 import org.monsoonrelay.logic.platform.PartitionWrite;
 import org.monsoonrelay.logic.platform.PartitionedTable;
@@ -169,7 +169,7 @@
 	}
 
 	@Override
-	public void lost(Throwable failure) {
+	public void onUnavailable(Throwable failure) {
 		this.tableReadable = false;
 		this.rereadingRow = false;
 		this.takeOverPolicy.reset();
@@ -177,7 +177,7 @@
 	}
 
 	@Override
-	public void back() {
+	public void onAvailable() {
 		this.tableReadable = true;
 		this.changedNanos = this.clock.nanos();
 		this.log.write(new ProcessDecision.DependencyBack("table", -1));
@@ -374,7 +374,7 @@
 			.onVersion(JobTables.OWNER, JobTables.OWNER_KEY, onVersion)
 			.put(JobTables.OWNER, JobTables.OWNER_KEY, Json.write(next));
 		this.writeInFlight = true;
-		this.table.commit(write).whenComplete(OnThread.of(this.control, (commit, failure) -> {
+		this.table.commit(write).whenComplete(ExecutorCallback.on(this.control, (commit, failure) -> {
 			this.writeInFlight = false;
 			if (this.closed) {
 				return;
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/PoolStateWriter.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/PoolStateWriter.java
@@ -8,8 +8,8 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 
+import org.monsoonrelay.logic.platform.ExecutorCallback;
 import org.monsoonrelay.logic.platform.Json;
-import org.monsoonrelay.logic.platform.OnThread;
 import org.monsoonrelay.logic.platform.PartitionCommit;
 import org.monsoonrelay.logic.platform.PartitionWrite;
 import org.monsoonrelay.logic.platform.PartitionedTable;
@@ -234,7 +234,7 @@
 		long sentNanos = this.clock.nanos();
 		long sentWallMillis = this.clock.millis();
 		this.lastSentNanos = sentNanos;
-		this.table.commit(batch.write()).whenComplete(OnThread.of(this.control, (commit, failure) -> {
+		this.table.commit(batch.write()).whenComplete(ExecutorCallback.on(this.control, (commit, failure) -> {
 			if (commit instanceof PartitionCommit.Committed committed) {
 				writeCommitted(batch, committed.version(), sentNanos, sentWallMillis);
 			}
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/RunController.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/RunController.java
@@ -16,7 +16,7 @@
 import org.monsoonrelay.logic.events.JobDecision;
 import org.monsoonrelay.logic.events.Metric;
 import org.monsoonrelay.logic.events.PoolDecision;
-import org.monsoonrelay.logic.platform.OnThread;
+import org.monsoonrelay.logic.platform.ExecutorCallback;
 import org.monsoonrelay.model.submission.SubmittedJob;
 import org.monsoonrelay.model.submission.TaskKey;
 
@@ -129,8 +129,8 @@
 		Duration wait = Duration.ofMillis(worker.isReachable() ? POLL_WAIT_MILLIS : 0);
 		PollRequest request = new PollRequest(this.ownerLease.epoch(), worker.durableSequence(), leaseEndMillis, wait);
 		this.workerClient.poll(worker.info(), request)
-			.whenComplete(
-					OnThread.of(this.control, (outcome, failure) -> handlePollOutcome(worker, outcome, sentNanos)));
+			.whenComplete(ExecutorCallback.on(this.control,
+					(outcome, failure) -> handlePollOutcome(worker, outcome, sentNanos)));
 	}
 
 	private void handlePollOutcome(PoolWorker worker, PollOutcome outcome, long sentNanos) {
@@ -247,7 +247,7 @@
 		RunStartRequest leasedRequest = new RunStartRequest(request.task(), request.attempt(), request.spec(),
 				leaseEndMillis, request.fencingToken(), request.checkpoint(), request.ticket());
 		this.workerClient.start(worker.info(), leasedRequest)
-			.whenComplete(OnThread.of(this.control, (outcome, failure) -> {
+			.whenComplete(ExecutorCallback.on(this.control, (outcome, failure) -> {
 				boolean isReleased = worker.run(run.task()).filter((active) -> active == run).isEmpty();
 				if (!this.closed && !isReleased) {
 					handleStartOutcome(step, run, worker, request, outcome, unansweredRequests);
@@ -339,7 +339,7 @@
 			return;
 		}
 		this.workerClient.stop(worker.info(), run.task(), run.attempt(), this.ownerLease.epoch())
-			.whenComplete(OnThread.of(this.control, (outcome, failure) -> {
+			.whenComplete(ExecutorCallback.on(this.control, (outcome, failure) -> {
 				switch (outcome.kind()) {
 					case DONE -> run.confirm(this.clock.nanos());
 					case FENCED -> this.listener.workerFenced(worker.id());
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/queue/QueueManager.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/queue/QueueManager.java
@@ -14,7 +14,7 @@
 import java.util.function.Consumer;
 import java.util.stream.Collectors;
 
-import org.monsoonrelay.logic.control.InForce;
+import org.monsoonrelay.logic.control.ActiveControlState;
 import org.monsoonrelay.logic.placement.AttemptEvent;
 import org.monsoonrelay.logic.placement.AttemptEventKind;
 import org.monsoonrelay.logic.platform.HostList;
@@ -60,7 +60,7 @@
 
 	private Set<String> satisfiedElsewhere = Set.of();
 
-	private InForce inForce = InForce.NOTHING;
+	private ActiveControlState inForce = ActiveControlState.NONE;
 
 	public QueueManager(RackOwners rackOwners, RackDirectory racks, JobRecordStoreFactory storeFactory,
 			Executor controlExecutor, InstantSource clock) {
@@ -133,7 +133,7 @@
 	 * the others.
 	 * @param latest the version in force
 	 */
-	public void update(InForce latest) {
+	public void update(ActiveControlState latest) {
 		this.inForce = latest;
 		this.declaredWorkloads = latest.text()
 			.workloads()
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/queue/TeamScheduler.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/queue/TeamScheduler.java
@@ -11,7 +11,7 @@
 import java.util.Set;
 import java.util.function.Predicate;
 
-import org.monsoonrelay.logic.control.InForce;
+import org.monsoonrelay.logic.control.ActiveControlState;
 import org.monsoonrelay.logic.placement.WeightedRackPolicy;
 import org.monsoonrelay.model.capacity.Resources;
 import org.monsoonrelay.model.job.Job;
@@ -69,7 +69,7 @@
 	 * @param inForce the configuration and the operators' edits in force
 	 * @param satisfied names of workloads that have finished or are up
 	 */
-	void runRound(Map<String, TeamQueue> queues, InForce inForce, Set<String> satisfied) {
+	void runRound(Map<String, TeamQueue> queues, ActiveControlState inForce, Set<String> satisfied) {
 		this.racks.beginRound(new WeightedRackPolicy(inForce.text().policy()));
 		this.preemption.recordFreedCapacity();
 		PlacementRound round = new PlacementRound(inForce, satisfied);
@@ -95,7 +95,7 @@
 	 */
 	private final class PlacementRound {
 
-		private final InForce inForce;
+		private final ActiveControlState inForce;
 
 		private final Set<String> satisfied;
 
@@ -103,7 +103,7 @@
 
 		private int remainingStarts = MAXIMUM_STARTS_PER_ROUND;
 
-		PlacementRound(InForce inForce, Set<String> satisfied) {
+		PlacementRound(ActiveControlState inForce, Set<String> satisfied) {
 			this.inForce = inForce;
 			this.satisfied = satisfied;
 			this.cellCapacity = TeamScheduler.this.racks.capacity();
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/submission/CallerWrite.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/submission/CallerWrite.java
@@ -33,7 +33,7 @@
 	/** Kept back from the caller's time for the answer's way, milliseconds. */
 	private static final long MARGIN_MILLIS = 120;
 
-	private final Ways ways;
+	private final WritePaths paths;
 
 	private final PartitionWrite write;
 
@@ -53,15 +53,15 @@
 
 	/**
 	 * Create a write.
-	 * @param ways how it can be stored
+	 * @param paths how it can be stored
 	 * @param write the write
 	 * @param whenStored told of the row's version
 	 * @param timer for repeats
 	 * @param deadlineNanos until when the caller waits, on the steady clock
 	 */
-	CallerWrite(Ways ways, PartitionWrite write, LongConsumer whenStored, ScheduledExecutorService timer,
+	CallerWrite(WritePaths paths, PartitionWrite write, LongConsumer whenStored, ScheduledExecutorService timer,
 			long deadlineNanos) {
-		this.ways = ways;
+		this.paths = paths;
 		this.write = write;
 		this.whenStored = whenStored;
 		this.timer = timer;
@@ -88,12 +88,13 @@
 	}
 
 	private long leftMillis() {
-		return TimeUnit.NANOSECONDS.toMillis(this.deadlineNanos - this.ways.nanoTime()) - MARGIN_MILLIS;
+		return TimeUnit.NANOSECONDS.toMillis(this.deadlineNanos - this.paths.nanoTime()) - MARGIN_MILLIS;
 	}
 
 	private void next() {
-		boolean isTried = this.ways.isOpen() ? attempt(() -> Optional.of(this.ways.direct(this.write)))
-				: attempt(() -> this.ways.relayed(this.write));
+		boolean isTried = this.paths.isDirectPathOpen()
+				? attempt(() -> Optional.of(this.paths.writeDirectly(this.write)))
+				: attempt(() -> this.paths.writeThroughPeer(this.write));
 		if (!isTried) {
 			// The caller had better try another host than wait for this one.
 			giveUp();
@@ -101,8 +102,8 @@
 	}
 
 	private void hedge() {
-		if (this.ways.isOpen()) {
-			attempt(() -> this.ways.relayed(this.write));
+		if (this.paths.isDirectPathOpen()) {
+			attempt(() -> this.paths.writeThroughPeer(this.write));
 		}
 	}
 
@@ -168,8 +169,8 @@
 		this.outcome.complete(mayBeStored ? AcceptOutcome.UNKNOWN : AcceptOutcome.NOT_ACCEPTED);
 	}
 
-	/** The ways to the table. Thread-safe and not blocking. */
-	interface Ways {
+	/** The paths to the table. Thread-safe and not blocking. */
+	interface WritePaths {
 
 		/**
 		 * The steady clock.
@@ -181,21 +182,21 @@
 		 * Whether the table takes this host's writes, as far as is known.
 		 * @return {@code true} if a direct write is worth a try
 		 */
-		boolean isOpen();
+		boolean isDirectPathOpen();
 
 		/**
 		 * Write to the table.
 		 * @param write the write
 		 * @return what became of it, never failing
 		 */
-		CompletableFuture<PartitionCommit> direct(PartitionWrite write);
+		CompletableFuture<PartitionCommit> writeDirectly(PartitionWrite write);
 
 		/**
 		 * Have another host write.
 		 * @param write the write
 		 * @return what became of it, never failing; empty if no host is known that could
 		 */
-		Optional<CompletableFuture<PartitionCommit>> relayed(PartitionWrite write);
+		Optional<CompletableFuture<PartitionCommit>> writeThroughPeer(PartitionWrite write);
 
 	}
 
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/submission/Outage.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/submission/CircuitBreaker.java
@@ -8,7 +8,7 @@
  * further ones would only make callers wait. While it counts as down, one try in
  * {@link #PROBE_MILLIS} finds out. Thread-safe.
  */
-final class Outage {
+final class CircuitBreaker {
 
 	/** Time between two tries while the way counts as down, milliseconds. */
 	private static final long PROBE_MILLIS = 250;
@@ -26,7 +26,7 @@
 	 * @param limit failures in a row after which it counts as down
 	 * @param nanoTime the steady clock
 	 */
-	Outage(int limit, LongSupplier nanoTime) {
+	CircuitBreaker(int limit, LongSupplier nanoTime) {
 		this.limit = limit;
 		this.nanoTime = nanoTime;
 	}
@@ -35,16 +35,16 @@
 	 * Whether to leave the way alone now.
 	 * @return {@code true} if it counts as down and was tried just now
 	 */
-	synchronized boolean isDown() {
+	synchronized boolean isOpen() {
 		return this.failures >= this.limit
 				&& this.nanoTime.getAsLong() - this.lastTryNanos < TimeUnit.MILLISECONDS.toNanos(PROBE_MILLIS);
 	}
 
-	synchronized void tried() {
+	synchronized void recordAttempt() {
 		this.lastTryNanos = this.nanoTime.getAsLong();
 	}
 
-	synchronized void succeeded() {
+	synchronized void recordSuccess() {
 		this.failures = 0;
 	}
 
@@ -52,7 +52,7 @@
 	 * Note a failure.
 	 * @return whether the way counts as down now
 	 */
-	synchronized boolean failed() {
+	synchronized boolean recordFailure() {
 		this.failures++;
 		return this.failures >= this.limit;
 	}
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/submission/JobStates.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/submission/JobStates.java
@@ -47,16 +47,16 @@
 		if (row.deleted()) {
 			this.states.remove(row.key());
 			this.unclear.remove(row.key());
-			this.unreadable.forget(row);
+			this.unreadable.clear(row);
 			return;
 		}
 		if (row.key().equals(JobTables.SUMMARY_KEY)) {
 			this.unreadable.read(row, QueueSummary.class)
-				.ifPresent((counted) -> note(new QueueCount(counted, row.version())));
+				.ifPresent((counted) -> updateCount(new QueueCount(counted, row.version())));
 			return;
 		}
 		this.unreadable.read(row, JobProgress.class).ifPresentOrElse((progress) -> {
-			note(row.key(), progress.state());
+			update(row.key(), progress.state());
 			this.unclear.remove(row.key());
 		}, () -> this.unclear.add(row.key()));
 	}
@@ -66,7 +66,7 @@
 	 * @param job the job's id
 	 * @return {@code true} if so
 	 */
-	boolean isUnclear(String job) {
+	boolean isUnreadable(String job) {
 		return this.unclear.contains(job) && state(job).filter(SubmissionState::isFinal).isEmpty();
 	}
 
@@ -76,14 +76,14 @@
 	 * @param told the new states, by job
 	 * @param pending the jobs that wait, if they were counted anew
 	 */
-	public void told(Map<String, SubmissionState> told, Optional<QueueCount> pending) {
-		told.forEach(this::note);
-		pending.ifPresent(this::note);
+	public void applyOwnerUpdate(Map<String, SubmissionState> told, Optional<QueueCount> pending) {
+		told.forEach(this::update);
+		pending.ifPresent(this::updateCount);
 	}
 
 	// An owner tells a count only when it changes, so that an older one from the feed, or
 	// from a former owner, would stay.
-	private void note(QueueCount counted) {
+	private void updateCount(QueueCount counted) {
 		this.count.accumulateAndGet(counted, QueueCount::newer);
 	}
 
@@ -92,7 +92,7 @@
 	 * @param job the job's id
 	 * @param state the state
 	 */
-	public void note(String job, SubmissionState state) {
+	public void update(String job, SubmissionState state) {
 		this.states.merge(job, state, JobStates::later);
 	}
 
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/submission/StorageWatch.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/submission/StorageAvailabilityMonitor.java
@@ -15,25 +15,25 @@
  * a job has three. Invariant: a host that hears answers counts as able, however slow they
  * are. Thread-safe.
  */
-public final class StorageWatch {
+public final class StorageAvailabilityMonitor {
 
 	/**
 	 * Silence after which the table is asked, milliseconds: three heartbeats of the
 	 * owner.
 	 */
-	static final long DOUBT_MILLIS = 300;
+	static final long SILENCE_MILLIS = 300;
 
 	/** Time between two questions, milliseconds. */
-	static final long ASK_MILLIS = 250;
+	static final long PROBE_INTERVAL_MILLIS = 250;
 
 	/**
 	 * How long a question may stay unanswered, milliseconds. A read takes 4 ms, and 240
 	 * ms while the table is sixty times as slow.
 	 */
-	static final long UNANSWERED_MILLIS = 600;
+	static final long PROBE_TIMEOUT_MILLIS = 600;
 
 	/** Questions in a row that fail at once after which the table counts as away. */
-	static final int FAILED_QUESTIONS = 2;
+	static final int MAX_FAILED_PROBES = 2;
 
 	private static final String NAME = "storing jobs";
 
@@ -60,11 +60,11 @@
 	/**
 	 * Create a watch. Until it first hears of the table it counts as able.
 	 * @param question asks the table something small; what comes of it is told to
-	 * {@link #heard()} or {@link #questionFailed()}
+	 * {@link #recordResponse()} or {@link #recordFailedProbe()}
 	 * @param nanoTime the steady clock
 	 * @param log takes changes
 	 */
-	public StorageWatch(Runnable question, LongSupplier nanoTime, DecisionLog log) {
+	public StorageAvailabilityMonitor(Runnable question, LongSupplier nanoTime, DecisionLog log) {
 		this.question = question;
 		this.nanoTime = nanoTime;
 		this.log = log;
@@ -74,7 +74,7 @@
 	/**
 	 * Note an answer of the table, or that the owner's writes to it go on.
 	 */
-	public synchronized void heard() {
+	public synchronized void recordResponse() {
 		this.heardNanos = this.nanoTime.getAsLong();
 		this.asking = false;
 		this.failed = 0;
@@ -88,7 +88,7 @@
 	/**
 	 * Note that a question was turned down or broken off.
 	 */
-	public synchronized void questionFailed() {
+	public synchronized void recordFailedProbe() {
 		this.failed++;
 		judge();
 	}
@@ -96,7 +96,7 @@
 	/**
 	 * Ask if need be. To be called every few milliseconds.
 	 */
-	public void check() {
+	public void probeIfDue() {
 		if (isQuestionDue()) {
 			this.question.run();
 		}
@@ -105,8 +105,8 @@
 	private synchronized boolean isQuestionDue() {
 		long now = this.nanoTime.getAsLong();
 		judge();
-		boolean isDue = isOlder(this.heardNanos, DOUBT_MILLIS, now)
-				&& (!this.asking || isOlder(this.askedNanos, ASK_MILLIS, now));
+		boolean isDue = isOlder(this.heardNanos, SILENCE_MILLIS, now)
+				&& (!this.asking || isOlder(this.askedNanos, PROBE_INTERVAL_MILLIS, now));
 		if (isDue) {
 			this.askedNanos = now;
 			this.firstAskedNanos = this.asking ? this.firstAskedNanos : now;
@@ -116,8 +116,9 @@
 	}
 
 	private void judge() {
-		boolean isSilent = this.asking && isOlder(this.firstAskedNanos, UNANSWERED_MILLIS, this.nanoTime.getAsLong());
-		if (this.able && (isSilent || this.failed >= FAILED_QUESTIONS)) {
+		boolean isSilent = this.asking
+				&& isOlder(this.firstAskedNanos, PROBE_TIMEOUT_MILLIS, this.nanoTime.getAsLong());
+		if (this.able && (isSilent || this.failed >= MAX_FAILED_PROBES)) {
 			this.able = false;
 			this.unableNanos = this.nanoTime.getAsLong();
 			this.log.write(new ProcessDecision.DependencyLost(NAME,
@@ -134,7 +135,7 @@
 	 * Whether jobs can be stored from this host.
 	 * @return {@code false} if trying would only make callers wait
 	 */
-	public synchronized boolean isAble() {
+	public synchronized boolean isAvailable() {
 		return this.able;
 	}
 
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/submission/StoredListener.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/submission/StoredJobListener.java
@@ -7,17 +7,17 @@
  * before its feed brings them. Called on the table client's threads, which it must not
  * block; nothing depends on a call arriving.
  */
-public interface StoredListener {
+public interface StoredJobListener {
 
 	/** Tells nobody. */
-	StoredListener NONE = new StoredListener() {
+	StoredJobListener NONE = new StoredJobListener() {
 
 		@Override
-		public void accepted(Submission submission, long version) {
+		public void jobAccepted(Submission submission, long version) {
 		}
 
 		@Override
-		public void cancelled(String job) {
+		public void jobCancelled(String job) {
 		}
 
 	};
@@ -27,12 +27,12 @@
 	 * @param submission the job
 	 * @param version the version of its row
 	 */
-	void accepted(Submission submission, long version);
+	void jobAccepted(Submission submission, long version);
 
 	/**
 	 * A cancellation was stored.
 	 * @param job the job's id
 	 */
-	void cancelled(String job);
+	void jobCancelled(String job);
 
 }
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/submission/SubmissionService.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/submission/SubmissionService.java
@@ -48,17 +48,17 @@
 
 	private final LongSupplier nanoTime;
 
-	private final StoredListener stored;
+	private final StoredJobListener stored;
 
 	private final CommitRelay relay;
 
-	private final StorageWatch storage;
+	private final StorageAvailabilityMonitor storage;
 
 	private final AtomicInteger tableFailures = new AtomicInteger();
 
-	private final Outage relayOutage;
+	private final CircuitBreaker relayBreaker;
 
-	private final CallerWrite.Ways ways = new HostWays();
+	private final CallerWrite.WritePaths paths = new HostWritePaths();
 
 	/**
 	 * Create a service.
@@ -70,8 +70,8 @@
 	 * @param timer for repeats
 	 * @param nanoTime the steady clock
 	 */
-	public SubmissionService(PartitionedTable table, JobStates states, StoredListener stored, CommitRelay relay,
-			StorageWatch storage, ScheduledExecutorService timer, LongSupplier nanoTime) {
+	public SubmissionService(PartitionedTable table, JobStates states, StoredJobListener stored, CommitRelay relay,
+			StorageAvailabilityMonitor storage, ScheduledExecutorService timer, LongSupplier nanoTime) {
 		this.stored = stored;
 		this.storage = storage;
 		this.relay = relay;
@@ -79,7 +79,7 @@
 		this.states = states;
 		this.timer = timer;
 		this.nanoTime = nanoTime;
-		this.relayOutage = new Outage(RELAY_DOWN_AFTER, nanoTime);
+		this.relayBreaker = new CircuitBreaker(RELAY_DOWN_AFTER, nanoTime);
 	}
 
 	/**
@@ -96,10 +96,10 @@
 		PartitionWrite write = PartitionWrite.to(JobTables.partition(id))
 			.onVersion(JobTables.JOBS, id, 0)
 			.put(JobTables.JOBS, id, Json.write(submission));
-		return store(write, (version) -> this.stored.accepted(submission, version), deadlineNanos)
+		return store(write, (version) -> this.stored.jobAccepted(submission, version), deadlineNanos)
 			.thenApply((outcome) -> {
 				if (outcome == AcceptOutcome.ACCEPTED) {
-					this.states.note(id, SubmissionState.QUEUED);
+					this.states.update(id, SubmissionState.QUEUED);
 				}
 				return outcome;
 			});
@@ -123,7 +123,7 @@
 			PartitionWrite write = PartitionWrite.to(JobTables.partition(id))
 				.onVersion(JobTables.JOBS, key, 0)
 				.put(JobTables.JOBS, key, CANCELLED);
-			return store(write, (version) -> this.stored.cancelled(id), deadlineNanos);
+			return store(write, (version) -> this.stored.jobCancelled(id), deadlineNanos);
 		});
 	}
 
@@ -133,7 +133,7 @@
 	 * @return the state, empty if there is no such job; fails if that cannot be found out
 	 */
 	public CompletableFuture<Optional<SubmissionState>> state(String id) {
-		if (this.states.isUnclear(id)) {
+		if (this.states.isUnreadable(id)) {
 			return CompletableFuture
 				.failedFuture(new PlatformException("the progress of " + id + " cannot be read", false, null));
 		}
@@ -144,7 +144,7 @@
 		return this.table.read(JobTables.JOBS, JobTables.partition(id), id, 1).thenApply((page) -> {
 			boolean exists = page.rows().stream().anyMatch((row) -> row.key().equals(id));
 			if (exists) {
-				this.states.note(id, SubmissionState.QUEUED);
+				this.states.update(id, SubmissionState.QUEUED);
 			}
 			return this.states.state(id);
 		});
@@ -160,17 +160,17 @@
 	}
 
 	private CompletableFuture<AcceptOutcome> store(PartitionWrite write, LongConsumer whenStored, long deadlineNanos) {
-		return new CallerWrite(this.ways, write, whenStored, this.timer, deadlineNanos).begin();
+		return new CallerWrite(this.paths, write, whenStored, this.timer, deadlineNanos).begin();
 	}
 
 	/**
 	 * Note that the table has answered something, so that writes are tried again.
 	 */
-	public void tableAnswered() {
+	public void recordTableResponse() {
 		this.tableFailures.set(0);
 	}
 
-	private final class HostWays implements CallerWrite.Ways {
+	private final class HostWritePaths implements CallerWrite.WritePaths {
 
 		@Override
 		public long nanoTime() {
@@ -178,13 +178,13 @@
 		}
 
 		@Override
-		public boolean isOpen() {
+		public boolean isDirectPathOpen() {
 			SubmissionService service = SubmissionService.this;
-			return service.storage.isAble() && service.tableFailures.get() < DOWN_AFTER;
+			return service.storage.isAvailable() && service.tableFailures.get() < DOWN_AFTER;
 		}
 
 		@Override
-		public CompletableFuture<PartitionCommit> direct(PartitionWrite write) {
+		public CompletableFuture<PartitionCommit> writeDirectly(PartitionWrite write) {
 			SubmissionService service = SubmissionService.this;
 			return service.table.commit(write).whenComplete((commit, failure) -> {
 				if (isStored(commit)) {
@@ -197,18 +197,18 @@
 		}
 
 		@Override
-		public Optional<CompletableFuture<PartitionCommit>> relayed(PartitionWrite write) {
+		public Optional<CompletableFuture<PartitionCommit>> writeThroughPeer(PartitionWrite write) {
 			SubmissionService service = SubmissionService.this;
-			if (!service.storage.isAble() || service.relayOutage.isDown()) {
+			if (!service.storage.isAvailable() || service.relayBreaker.isOpen()) {
 				return Optional.empty();
 			}
-			service.relayOutage.tried();
+			service.relayBreaker.recordAttempt();
 			return service.relay.relay(write).map((answer) -> answer.whenComplete((commit, failure) -> {
 				if (isStored(commit)) {
-					service.relayOutage.succeeded();
+					service.relayBreaker.recordSuccess();
 				}
 				else {
-					service.relayOutage.failed();
+					service.relayBreaker.recordFailure();
 				}
 			}));
 		}
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/text/CellTextParser.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/text/CellTextParser.java
@@ -40,7 +40,7 @@
 	 * @param document the text
 	 * @return the text
 	 */
-	public CellText accepted(String document) {
+	public CellText parseAccepted(String document) {
 		return Json.read(document, CellText.class);
 	}
 
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/control/ControlLogTests.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/control/ControlLogTests.java
@@ -13,7 +13,7 @@
 import org.monsoonrelay.logic.control.EditOutcome.Invalid;
 import org.monsoonrelay.logic.control.EditOutcome.Unavailable;
 import org.monsoonrelay.logic.control.EditOutcome.Unsettled;
-import org.monsoonrelay.logic.control.PlatformFake.CommitFault;
+import org.monsoonrelay.logic.control.FakePlatform.CommitFault;
 import org.monsoonrelay.logic.platform.Row;
 import org.monsoonrelay.logic.platform.TableKeys;
 import org.monsoonrelay.model.control.ControlState;
@@ -28,7 +28,7 @@
 
 	private static final int MAXIMUM_BYTES_A_DECLARATION = 30;
 
-	private final PlatformFake platform = new PlatformFake();
+	private final FakePlatform platform = new FakePlatform();
 
 	private final ControlLog log = new ControlLog(this.platform, this.platform, () -> Instant.EPOCH);
 
@@ -260,7 +260,7 @@
 		@Test
 		void changeCostsOneTransactionOneObjectAndThreeReads() {
 			submit(apply("a", "ana", 0, "roster"));
-			PlatformFake platform = ControlLogTests.this.platform;
+			FakePlatform platform = ControlLogTests.this.platform;
 			int reads = platform.reads;
 
 			submit(edit("b", EditKind.CANCEL, "roster@r1"));
@@ -280,7 +280,7 @@
 		}
 
 		private int objectBytes(int declarations) {
-			PlatformFake platform = new PlatformFake();
+			FakePlatform platform = new FakePlatform();
 			ControlLog empty = new ControlLog(platform, platform, () -> Instant.EPOCH);
 			String[] names = IntStream.range(0, declarations)
 				.mapToObj((index) -> "run-" + index)
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/control/PlatformFake.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/control/FakePlatform.java
@@ -9,7 +9,7 @@
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 
-import org.monsoonrelay.logic.fakes.MemoryRows;
+import org.monsoonrelay.logic.fakes.InMemoryRows;
 import org.monsoonrelay.logic.platform.CommitResult;
 import org.monsoonrelay.logic.platform.ConditionalWrite;
 import org.monsoonrelay.logic.platform.ObjectStore;
@@ -21,11 +21,11 @@
  * Table and object store in memory with faults. Answers come at once, on the caller's
  * thread; not thread-safe.
  */
-final class PlatformFake implements TableService, ObjectStore {
+final class FakePlatform implements TableService, ObjectStore {
 
 	final Map<String, String> objects = new HashMap<>();
 
-	private final MemoryRows rows = new MemoryRows();
+	private final InMemoryRows rows = new InMemoryRows();
 
 	private final Map<String, Optional<Row>> staleReads = new HashMap<>();
 
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/control/VersionFollowerTests.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/control/VersionFollowerTests.java
@@ -18,7 +18,7 @@
 
 class VersionFollowerTests {
 
-	private final PlatformFake platform = new PlatformFake();
+	private final FakePlatform platform = new FakePlatform();
 
 	private final ControlLog log = new ControlLog(this.platform, this.platform, () -> Instant.EPOCH);
 
@@ -63,7 +63,7 @@
 			Node node = VersionFollowerTests.this.node;
 			ControlVersion first = new Node().polled();
 			CompletableFuture<ControlVersion> late = new CompletableFuture<>();
-			node.follower.announced(1, () -> late);
+			node.follower.handleAnnouncement(1, () -> late);
 			edit("second");
 			node.follower.poll();
 			late.complete(first);
@@ -75,7 +75,7 @@
 		@Test
 		void clientThatFailsAtOnceDoesNotEndThePolling() {
 			edit("first");
-			PlatformFake platform = VersionFollowerTests.this.platform;
+			FakePlatform platform = VersionFollowerTests.this.platform;
 			platform.throwsAtOnce = true;
 			VersionFollowerTests.this.node.follower.poll();
 			platform.throwsAtOnce = false;
@@ -129,14 +129,14 @@
 			Node node = VersionFollowerTests.this.node;
 			List<CompletableFuture<ControlVersion>> fetches = new ArrayList<>();
 			for (int peer = 0; peer < 3; peer++) {
-				node.follower.announced(1, () -> node.fetch(fetches));
+				node.follower.handleAnnouncement(1, () -> node.fetch(fetches));
 			}
 			assertThat(fetches).hasSize(1);
 			fetches.get(0).completeExceptionally(new PlatformException("the peer is gone", false, null));
-			node.follower.announced(1, () -> {
+			node.follower.handleAnnouncement(1, () -> {
 				throw new IllegalStateException("the network is closing");
 			});
-			node.follower.announced(1, () -> node.fetch(fetches));
+			node.follower.handleAnnouncement(1, () -> node.fetch(fetches));
 			fetches.get(1).complete(first);
 
 			assertThat(node.cell()).isEqualTo("first");
@@ -148,7 +148,7 @@
 			Node node = VersionFollowerTests.this.node;
 			node.follower.poll();
 			List<CompletableFuture<ControlVersion>> fetches = new ArrayList<>();
-			node.follower.announced(1, () -> node.fetch(fetches));
+			node.follower.handleAnnouncement(1, () -> node.fetch(fetches));
 
 			assertThat(fetches).isEmpty();
 		}
@@ -172,12 +172,13 @@
 
 		ControlVersion polled() {
 			this.follower.poll();
-			InForce present = this.tracker.inForce();
+			ActiveControlState present = this.tracker.activeState();
 			return new ControlVersion(present.head(), present.state());
 		}
 
 		void hears(ControlVersion version) {
-			this.follower.announced(version.head().version(), () -> CompletableFuture.completedFuture(version));
+			this.follower.handleAnnouncement(version.head().version(),
+					() -> CompletableFuture.completedFuture(version));
 		}
 
 		CompletableFuture<ControlVersion> fetch(List<CompletableFuture<ControlVersion>> fetches) {
@@ -186,7 +187,7 @@
 		}
 
 		String cell() {
-			return this.tracker.inForce().text().cell();
+			return this.tracker.activeState().text().cell();
 		}
 
 	}
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/fakes/CellData.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/fakes/CellData.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Set;
 
-import org.monsoonrelay.logic.control.InForce;
+import org.monsoonrelay.logic.control.ActiveControlState;
 import org.monsoonrelay.logic.platform.HostList;
 import org.monsoonrelay.model.capacity.Resources;
 import org.monsoonrelay.model.control.ControlHead;
@@ -96,8 +96,8 @@
 	 * @param runs the runs
 	 * @return the state in force
 	 */
-	public static InForce inForce(long version, RunDeclaration... runs) {
-		return inForce(version, List.of(), List.of(runs), Set.of());
+	public static ActiveControlState activeState(long version, RunDeclaration... runs) {
+		return activeState(version, List.of(), List.of(runs), Set.of());
 	}
 
 	/**
@@ -108,12 +108,12 @@
 	 * @param cancelled jobs cancelled
 	 * @return the state in force
 	 */
-	public static InForce inForce(long version, List<ServiceDeclaration> services, List<RunDeclaration> runs,
-			Set<String> cancelled) {
+	public static ActiveControlState activeState(long version, List<ServiceDeclaration> services,
+			List<RunDeclaration> runs, Set<String> cancelled) {
 		Team team = new Team(TEAM, new Resources(1_000_000, 1_000_000_000L, 0), 1);
 		CellText text = new CellText("cell", null, List.of(team), services, runs, List.of());
 		ControlHead head = new ControlHead(version, "digest-" + version, "edit-" + version);
-		return new InForce(head, new ControlState("{}", version, cancelled, Set.of()), text);
+		return new ActiveControlState(head, new ControlState("{}", version, cancelled, Set.of()), text);
 	}
 
 	/**
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/fakes/FakeScheduler.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/fakes/FakeScheduler.java
@@ -45,24 +45,24 @@
 
 	private final Map<String, Integer> writeIds = new HashMap<>();
 
-	private JobRecordStore journal;
+	private JobRecordStore jobRecords;
 
-	private FakeScheduler reached = this;
+	private FakeScheduler rackOwner = this;
 
 	private boolean stopsLost;
 
-	private boolean reserveHeld;
+	private boolean reserveAnswersHeld;
 
-	private final List<Runnable> held = new ArrayList<>();
+	private final List<Runnable> heldAnswers = new ArrayList<>();
 
 	public FakeScheduler(String name, TableService table, WorkerAgents workers, ManualTime time) {
 		this.time = time;
 		this.racks = new RackManager(workers, this.control, time, time::nanos, LEASE);
 		this.queues = new QueueManager(this, this.directory, (onConflict) -> {
-			this.journal = new JobRecordStore(table, this.control,
+			this.jobRecords = new JobRecordStore(table, this.control,
 					() -> name + '-' + this.writeIds.merge(name, 1, Integer::sum), onConflict,
 					new WriteBudget(time::nanos, 300));
-			return this.journal;
+			return this.jobRecords;
 		}, this.control, time);
 	}
 
@@ -71,14 +71,14 @@
 	 * @param other the owner of the racks
 	 */
 	public void useRacksOf(FakeScheduler other) {
-		this.reached = other;
+		this.rackOwner = other;
 	}
 
 	/**
 	 * Take in a reading of the host list.
 	 * @param list the reading
 	 */
-	public void hosts(HostList list) {
+	public void updateHosts(HostList list) {
 		this.racks.update(list);
 		this.queues.update(list);
 	}
@@ -86,27 +86,27 @@
 	/**
 	 * One second of the scheduler's timetable, time included.
 	 */
-	public void second() {
+	public void runSecond() {
 		this.time.advance(Duration.ofSeconds(1));
-		work();
+		runScheduledWork();
 	}
 
 	/**
 	 * Several seconds.
 	 * @param count how many
 	 */
-	public void seconds(int count) {
+	public void runSeconds(int count) {
 		for (int index = 0; index < count; index++) {
-			second();
+			runSecond();
 		}
 	}
 
 	/**
 	 * All that a scheduler does in a second, at the present time.
 	 */
-	public void work() {
-		this.reached.racks.sendHeartbeats();
-		this.reached.control.drain();
+	public void runScheduledWork() {
+		this.rackOwner.racks.sendHeartbeats();
+		this.rackOwner.control.drain();
 		for (int tick = 0; tick < 4; tick++) {
 			tick();
 		}
@@ -116,13 +116,13 @@
 	 * One tick: events, placement, writes and orders.
 	 */
 	public void tick() {
-		deliver(this.reached.racks);
-		this.directory.update("owner", this.reached.racks.summaries());
+		deliver(this.rackOwner.racks);
+		this.directory.update("owner", this.rackOwner.racks.summaries());
 		this.queues.tick();
 		this.control.drain();
-		this.reached.racks.sendUrgentCommands();
-		this.reached.control.drain();
-		deliver(this.reached.racks);
+		this.rackOwner.racks.sendUrgentCommands();
+		this.rackOwner.control.drain();
+		deliver(this.rackOwner.racks);
 		this.control.drain();
 	}
 
@@ -138,9 +138,9 @@
 	@Override
 	public CompletableFuture<List<Reservation>> reserve(ReservationRequest request) {
 		CompletableFuture<List<Reservation>> answer = new CompletableFuture<>();
-		List<Reservation> reserved = this.reached.racks.reserve(request);
-		if (this.reserveHeld) {
-			this.held.add(() -> answer.complete(reserved));
+		List<Reservation> reserved = this.rackOwner.racks.reserve(request);
+		if (this.reserveAnswersHeld) {
+			this.heldAnswers.add(() -> answer.complete(reserved));
 		}
 		else {
 			answer.complete(reserved);
@@ -151,35 +151,35 @@
 	@Override
 	public CompletableFuture<List<AttemptId>> start(String rack, List<StartTask> starts) {
 		return CompletableFuture.completedFuture(
-				starts.stream().filter((start) -> !this.reached.racks.start(start)).map(StartTask::attempt).toList());
+				starts.stream().filter((start) -> !this.rackOwner.racks.start(start)).map(StartTask::attempt).toList());
 	}
 
 	@Override
 	public void release(String rack, Collection<AttemptId> attempts) {
-		this.reached.racks.release(attempts);
+		this.rackOwner.racks.release(attempts);
 	}
 
 	@Override
 	public void stop(String rack, AttemptId attempt, WorkerId worker, String team) {
 		if (!this.stopsLost) {
-			this.reached.racks.stop(attempt, worker, team);
+			this.rackOwner.racks.stop(attempt, worker, team);
 		}
 	}
 
 	@Override
 	public void resolve(String rack, AttemptId attempt, WorkerId worker, String incarnation, String team) {
-		this.reached.racks.resolve(attempt, worker, incarnation, team);
+		this.rackOwner.racks.resolve(attempt, worker, incarnation, team);
 	}
 
 	/**
 	 * Hold back the answers to reservations until they are let go.
 	 * @param isHeld whether to hold them; {@code false} lets all go
 	 */
-	public void setReserveHeld(boolean isHeld) {
-		this.reserveHeld = isHeld;
+	public void setReserveAnswersHeld(boolean isHeld) {
+		this.reserveAnswersHeld = isHeld;
 		if (!isHeld) {
-			this.held.forEach(Runnable::run);
-			this.held.clear();
+			this.heldAnswers.forEach(Runnable::run);
+			this.heldAnswers.clear();
 		}
 	}
 
@@ -195,8 +195,8 @@
 		return this.queues;
 	}
 
-	public JobRecordStore journal() {
-		return this.journal;
+	public JobRecordStore jobRecords() {
+		return this.jobRecords;
 	}
 
 	public ManualExecutor control() {
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/fakes/FakeTable.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/fakes/FakeTable.java
@@ -17,7 +17,7 @@
  */
 public final class FakeTable implements TableService {
 
-	private final MemoryRows rows = new MemoryRows();
+	private final InMemoryRows rows = new InMemoryRows();
 
 	private final List<List<ConditionalWrite>> late = new ArrayList<>();
 
@@ -99,7 +99,7 @@
 	/**
 	 * Let the held writes take effect, as far as their conditions still hold.
 	 */
-	public void landLateCommits() {
+	public void applyLateCommits() {
 		this.late.forEach(this::apply);
 		this.late.clear();
 	}
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/fakes/FakeWorkers.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/fakes/FakeWorkers.java
@@ -31,7 +31,7 @@
 
 	private final Map<String, Integer> runningNow = new HashMap<>();
 
-	private int mostAtOnce;
+	private int maximumConcurrentRuns;
 
 	private String failingJobs = "none";
 
@@ -82,8 +82,8 @@
 	 * The most runs of one task that ever were under way at once.
 	 * @return the count
 	 */
-	public int mostAtOnce() {
-		return this.mostAtOnce;
+	public int maximumConcurrentRuns() {
+		return this.maximumConcurrentRuns;
 	}
 
 	/**
@@ -183,7 +183,7 @@
 			if (!ended) {
 				FakeWorkers.this.runs.merge(task(attempt), 1, Integer::sum);
 				int now = FakeWorkers.this.runningNow.merge(task(attempt), 1, Integer::sum);
-				FakeWorkers.this.mostAtOnce = Math.max(FakeWorkers.this.mostAtOnce, now);
+				FakeWorkers.this.maximumConcurrentRuns = Math.max(FakeWorkers.this.maximumConcurrentRuns, now);
 			}
 			if (!ended && (this.failsAll || attempt.job().name().matches(FakeWorkers.this.failingJobs))) {
 				this.failures++;
@@ -221,7 +221,7 @@
 		/**
 		 * Let the held commands arrive; nobody waits for their answers any more.
 		 */
-		public void landLateCommands() {
+		public void deliverLateCommands() {
 			this.commandsLate = false;
 			this.late.forEach(this::take);
 			this.late.clear();
@@ -267,7 +267,7 @@
 		 * Attempts that run here.
 		 * @return the count
 		 */
-		public int runningHere() {
+		public int runningCount() {
 			return (int) this.attempts.values()
 				.stream()
 				.filter((entry) -> entry.phase() == AttemptPhase.RUNNING)
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/fakes/MemoryRows.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/fakes/InMemoryRows.java
@@ -15,7 +15,7 @@
  * Rows in memory that are written on condition of their versions, without faults. Not
  * thread-safe.
  */
-public final class MemoryRows {
+public final class InMemoryRows {
 
 	private final NavigableMap<String, Row> rows = new TreeMap<>();
 
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/membership/OwnershipTests.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/membership/OwnershipTests.java
@@ -13,7 +13,7 @@
 import org.monsoonrelay.logic.fakes.ManualExecutor;
 import org.monsoonrelay.logic.fakes.ManualTime;
 import org.monsoonrelay.logic.platform.Json;
-import org.monsoonrelay.logic.platform.SteadyClock;
+import org.monsoonrelay.logic.platform.MonotonicInstantSource;
 import org.monsoonrelay.logic.platform.TableKeys;
 import org.monsoonrelay.model.host.HostAddress;
 import org.monsoonrelay.model.membership.Ownership;
@@ -208,7 +208,7 @@
 		@Test
 		void thatWasYearsAheadAndIsRightAgainIsAcceptedAtOnce() {
 			ManualTime ahead = new ManualTime(Instant.parse("2055-11-07T00:00:00Z"));
-			SteadyClock steady = new SteadyClock(ahead, ahead::nanos);
+			MonotonicInstantSource steady = new MonotonicInstantSource(ahead, ahead::nanos);
 			start("ahead", "north");
 			rounds(3);
 			assertThat(owner(TableKeys.RACKS + "r1")).isEqualTo(new Ownership("ahead", 1));
@@ -247,7 +247,7 @@
 		}
 
 		void round() {
-			this.keeper.round(WANTED);
+			this.keeper.runRound(WANTED);
 			this.control.drain();
 		}
 
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/platform/UnreadableRowsTests.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/platform/UnreadableRowsTests.java
@@ -21,10 +21,10 @@
 
 	@Test
 	void areToldOnceForEachReasonAndCountedEachTime() {
-		this.rows.note(row("k", ""), "first");
-		this.rows.note(row("k", ""), "first");
-		this.rows.note(row("k", ""), "second");
-		this.rows.note(row("l", ""), "second");
+		this.rows.report(row("k", ""), "first");
+		this.rows.report(row("k", ""), "first");
+		this.rows.report(row("k", ""), "second");
+		this.rows.report(row("l", ""), "second");
 		assertThat(this.decisions).containsExactly(new ProcessDecision.RowUnreadable("t", "k", "first"),
 				new ProcessDecision.RowUnreadable("t", "k", "second"),
 				new ProcessDecision.RowUnreadable("t", "l", "second"));
@@ -33,19 +33,19 @@
 
 	@Test
 	void areToldAgainOnceTheyCouldBeReadBetween() {
-		this.rows.note(row("k", ""), "reason");
+		this.rows.report(row("k", ""), "reason");
 		assertThat(this.rows.read(row("k", "[1]"), int[].class)).isPresent();
-		this.rows.note(row("k", ""), "reason");
+		this.rows.report(row("k", ""), "reason");
 		assertThat(this.decisions).hasSize(2);
 	}
 
 	@Test
 	void areRememberedWithinABoundAndQuotedWithinAnother() {
 		for (int i = 0; i < 5000; i++) {
-			this.rows.note(row("k" + i, ""), "x".repeat(100_000));
+			this.rows.report(row("k" + i, ""), "x".repeat(100_000));
 		}
-		this.rows.note(row("k4999", ""), "x".repeat(100_000));
-		this.rows.note(row("k0", ""), "x".repeat(100_000));
+		this.rows.report(row("k4999", ""), "x".repeat(100_000));
+		this.rows.report(row("k0", ""), "x".repeat(100_000));
 		assertThat(this.decisions).hasSize(5001)
 			.allSatisfy((decision) -> assertThat(((ProcessDecision.RowUnreadable) decision).reason()).hasSize(200));
 	}
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/LoadSimulation.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/LoadSimulation.java
@@ -323,7 +323,7 @@
 		public void publishStates(long epoch, Map<String, SubmissionState> told,
 				java.util.Optional<QueueCount> pending) {
 			LoadSimulation load = LoadSimulation.this;
-			load.states.told(told, pending);
+			load.states.applyOwnerUpdate(told, pending);
 			told.forEach((job, state) -> {
 				if (state == SubmissionState.COMPLETED) {
 					SimulatedJob played = load.jobs.get(job);
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/SimulatedCell.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/SimulatedCell.java
@@ -244,7 +244,7 @@
 
 		@Override
 		public void publishStates(long epoch, Map<String, SubmissionState> states, Optional<QueueCount> pending) {
-			SimulatedCell.this.gateway.told(states, pending);
+			SimulatedCell.this.gateway.applyOwnerUpdate(states, pending);
 		}
 
 		@Override
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/queue/LeavingWorkerTests.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/queue/LeavingWorkerTests.java
@@ -35,15 +35,15 @@
 
 	@BeforeEach
 	void runOnOneWorker() {
-		this.scheduler.hosts(CellData.hosts(1, CellData.worker("w1", "r1")));
+		this.scheduler.updateHosts(CellData.hosts(1, CellData.worker("w1", "r1")));
 		this.scheduler.racks().acquireOwnership("r1", 1);
-		this.scheduler.work();
-		this.scheduler.queues().update(CellData.inForce(1, List.of(DESK), List.of(ROSTER), Set.of()));
+		this.scheduler.runScheduledWork();
+		this.scheduler.queues().update(CellData.activeState(1, List.of(DESK), List.of(ROSTER), Set.of()));
 		this.scheduler.queues().acquireOwnership(CellData.TEAM, 1);
 		this.scheduler.control().drain();
 		this.scheduler.queues().activate(CellData.TEAM);
-		this.scheduler.seconds(2);
-		assertThat(this.workers.worker("w1").runningHere()).isEqualTo(4);
+		this.scheduler.runSeconds(2);
+		assertThat(this.workers.worker("w1").runningCount()).isEqualTo(4);
 	}
 
 	private long replicas() {
@@ -52,31 +52,31 @@
 
 	@Test
 	void servicesAreReplacedBeforeTheyAreStoppedAndBatchRunsToItsEnd() {
-		this.scheduler
-			.hosts(CellData.hosts(2, CellData.worker("w1", "r1", HostState.LEAVING), CellData.worker("w2", "r1")));
+		this.scheduler.updateHosts(
+				CellData.hosts(2, CellData.worker("w1", "r1", HostState.LEAVING), CellData.worker("w2", "r1")));
 		for (int second = 0; second < 10; second++) {
-			this.scheduler.second();
+			this.scheduler.runSecond();
 			assertThat(replicas()).isGreaterThanOrEqualTo(3);
 		}
 		assertThat(replicas()).isEqualTo(3);
-		assertThat(this.workers.worker("w2").runningHere()).isEqualTo(3);
+		assertThat(this.workers.worker("w2").runningCount()).isEqualTo(3);
 		assertThat(this.workers.runs()).containsEntry("roster@1/0", 1);
-		assertThat(this.workers.worker("w1").runningHere()).isOne();
+		assertThat(this.workers.worker("w1").runningCount()).isOne();
 	}
 
 	@Test
 	void servicesKeepRunningWhileNoOtherWorkerHasCapacity() {
-		this.scheduler.hosts(CellData.hosts(2, CellData.worker("w1", "r1", HostState.LEAVING)));
-		this.scheduler.seconds(20);
+		this.scheduler.updateHosts(CellData.hosts(2, CellData.worker("w1", "r1", HostState.LEAVING)));
+		this.scheduler.runSeconds(20);
 		assertThat(replicas()).isEqualTo(3);
 	}
 
 	@Test
 	void servicesCancelledDuringReplacementAllStop() {
-		this.scheduler.hosts(CellData.hosts(2, CellData.worker("w1", "r1", HostState.LEAVING)));
-		this.scheduler.seconds(5);
-		this.scheduler.queues().update(CellData.inForce(2, List.of(DESK), List.of(ROSTER), Set.of("desk@service")));
-		this.scheduler.seconds(8);
+		this.scheduler.updateHosts(CellData.hosts(2, CellData.worker("w1", "r1", HostState.LEAVING)));
+		this.scheduler.runSeconds(5);
+		this.scheduler.queues().update(CellData.activeState(2, List.of(DESK), List.of(ROSTER), Set.of("desk@service")));
+		this.scheduler.runSeconds(8);
 		assertThat(replicas()).isZero();
 	}
 
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/queue/ManualQueueOwner.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/queue/ManualQueueOwner.java
@@ -8,7 +8,7 @@
 import java.util.TreeMap;
 
 import org.apache.commons.rng.simple.RandomSource;
-import org.monsoonrelay.logic.control.InForce;
+import org.monsoonrelay.logic.control.ActiveControlState;
 import org.monsoonrelay.logic.fakes.FakeTable;
 import org.monsoonrelay.logic.fakes.ManualExecutor;
 import org.monsoonrelay.model.capacity.Resources;
@@ -81,7 +81,8 @@
 
 	void runRound() {
 		CellText text = new CellText("cell", PolicyWeights.EQUAL, this.teams, List.of(), List.of(), List.of());
-		this.scheduler.runRound(this.queues, new InForce(ControlHead.NONE, ControlState.NONE, text), Set.of());
+		this.scheduler.runRound(this.queues, new ActiveControlState(ControlHead.NONE, ControlState.NONE, text),
+				Set.of());
 		this.journal.flush();
 	}
 
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/queue/PartitionedDomainTests.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/queue/PartitionedDomainTests.java
@@ -78,11 +78,11 @@
 	}
 
 	private void takeOver(FakeScheduler scheduler, long epoch, String... racks) {
-		scheduler.hosts(HOSTS);
+		scheduler.updateHosts(HOSTS);
 		List.of(racks).forEach((rack) -> scheduler.racks().acquireOwnership(rack, epoch));
-		scheduler.work();
+		scheduler.runScheduledWork();
 		scheduler.queues()
-			.update(CellData.inForce(1, CellData.run("wages", 2, true), CellData.run("roster", 2, false)));
+			.update(CellData.activeState(1, CellData.run("wages", 2, true), CellData.run("roster", 2, false)));
 		scheduler.queues().acquireOwnership(CellData.TEAM, epoch);
 		scheduler.control().drain();
 		scheduler.queues().activate(CellData.TEAM);
@@ -98,21 +98,21 @@
 	@Test
 	void keepsServingItsWorkersAndRunsNoRunOnceTaskTwiceAfterThePartitionHeals() {
 		takeOver(this.insideScheduler, 1, "r1");
-		this.insideScheduler.seconds(2);
-		assertThat(this.workers.worker("cut").runningHere()).isEqualTo(4);
+		this.insideScheduler.runSeconds(2);
+		assertThat(this.workers.worker("cut").runningCount()).isEqualTo(4);
 		this.partitioned = true;
 		takeOver(this.outsideScheduler, 2, "r1", "r2");
-		this.outsideScheduler.seconds(10);
+		this.outsideScheduler.runSeconds(10);
 		assertThat(counts(this.outsideScheduler).get("wages")).containsOnlyKeys(TaskState.IN_DOUBT);
-		this.insideScheduler.seconds(2);
-		assertThat(this.workers.worker("cut").runningHere()).isEqualTo(4);
+		this.insideScheduler.runSeconds(2);
+		assertThat(this.workers.worker("cut").runningCount()).isEqualTo(4);
 		assertThat(counts(this.insideScheduler).get("wages")).containsOnlyKeys(TaskState.RUNNING);
 		this.workers.finishAll();
-		this.insideScheduler.seconds(2);
+		this.insideScheduler.runSeconds(2);
 		this.partitioned = false;
-		this.outsideScheduler.seconds(4);
-		this.insideScheduler.seconds(4);
-		this.outsideScheduler.seconds(4);
+		this.outsideScheduler.runSeconds(4);
+		this.insideScheduler.runSeconds(4);
+		this.outsideScheduler.runSeconds(4);
 		assertThat(counts(this.outsideScheduler).get("wages")).containsOnlyKeys(TaskState.FINISHED);
 		assertThat(counts(this.outsideScheduler).get("roster")).containsOnlyKeys(TaskState.FINISHED);
 		assertThat(this.workers.runs()).containsEntry("wages@1/0", 1).containsEntry("wages@1/1", 1);
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/queue/QueueRecoveryTests.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/queue/QueueRecoveryTests.java
@@ -36,11 +36,11 @@
 
 	private FakeScheduler newScheduler(long epoch, int hosts) {
 		FakeScheduler created = new FakeScheduler("scheduler-" + epoch, this.table, this.workers, this.time);
-		created.hosts(CellData.hosts(5, hosts(hosts)));
+		created.updateHosts(CellData.hosts(5, hosts(hosts)));
 		for (int rack = 0; rack * WORKERS_PER_RACK < hosts; rack++) {
 			created.racks().acquireOwnership("r" + rack, epoch);
 		}
-		created.work();
+		created.runScheduledWork();
 		return created;
 	}
 
@@ -53,7 +53,7 @@
 	}
 
 	private static void declare(FakeScheduler scheduler, long epoch, RunDeclaration... runs) {
-		scheduler.queues().update(CellData.inForce(1, runs));
+		scheduler.queues().update(CellData.activeState(1, runs));
 		scheduler.queues().acquireOwnership(CellData.TEAM, epoch);
 		scheduler.control().drain();
 		scheduler.queues().activate(CellData.TEAM);
@@ -74,11 +74,11 @@
 		void duringAWorkerFailureLosesNoRepeatableTask() {
 			FakeScheduler queues = newScheduler(1, 2);
 			declare(queues, 1, CellData.run("roster", 1, false));
-			queues.seconds(2);
-			String busy = (QueueRecoveryTests.this.workers.worker("w0").runningHere() > 0) ? "w0" : "w1";
+			queues.runSeconds(2);
+			String busy = (QueueRecoveryTests.this.workers.worker("w0").runningCount() > 0) ? "w0" : "w1";
 			QueueRecoveryTests.this.workers.worker(busy).setUnreachable(true);
 			queues.useRacksOf(newScheduler(2, 2));
-			queues.seconds(8);
+			queues.runSeconds(8);
 			assertThat(counts(queues)).containsOnlyKeys(TaskState.RUNNING);
 			assertThat(QueueRecoveryTests.this.workers.runs()).containsEntry("roster@1/0", 2);
 		}
@@ -87,18 +87,18 @@
 		void duringTheRemovalOfAWorkerLosesNoTask() {
 			FakeScheduler queues = newScheduler(1, 2);
 			declare(queues, 1, CellData.run("wages", 1, true), CellData.run("roster", 1, false));
-			queues.seconds(2);
-			boolean first = QueueRecoveryTests.this.workers.worker("w0").runningHere() > 0;
+			queues.runSeconds(2);
+			boolean first = QueueRecoveryTests.this.workers.worker("w0").runningCount() > 0;
 			QueueRecoveryTests.this.workers.worker(first ? "w0" : "w1").restart();
 			QueueRecoveryTests.this.workers.worker(first ? "w0" : "w1").setUnreachable(true);
 			FakeScheduler successor = newScheduler(2, 2);
-			successor.hosts(CellData.hosts(6, hosts(2)[first ? 1 : 0]));
-			queues.hosts(CellData.hosts(6, hosts(2)[first ? 1 : 0]));
+			successor.updateHosts(CellData.hosts(6, hosts(2)[first ? 1 : 0]));
+			queues.updateHosts(CellData.hosts(6, hosts(2)[first ? 1 : 0]));
 			queues.useRacksOf(successor);
-			queues.seconds(8);
+			queues.runSeconds(8);
 			assertThat(counts(queues)).containsOnlyKeys(TaskState.RUNNING);
 			assertThat(QueueRecoveryTests.this.workers.running()).hasSize(2);
-			assertThat(QueueRecoveryTests.this.workers.mostAtOnce()).isOne();
+			assertThat(QueueRecoveryTests.this.workers.maximumConcurrentRuns()).isOne();
 		}
 
 		@Test
@@ -112,9 +112,9 @@
 			QueueRecoveryTests.this.workers.worker("w0").setUnreachable(false);
 			QueueRecoveryTests.this.workers.worker("w1").setUnreachable(false);
 			queues.useRacksOf(newScheduler(2, 2));
-			queues.seconds(8);
+			queues.runSeconds(8);
 			assertThat(counts(queues)).containsOnlyKeys(TaskState.RUNNING);
-			assertThat(QueueRecoveryTests.this.workers.mostAtOnce()).isOne();
+			assertThat(QueueRecoveryTests.this.workers.maximumConcurrentRuns()).isOne();
 		}
 
 	}
@@ -126,14 +126,15 @@
 		void isRetriedUntilTheTaskHasEnded() {
 			FakeScheduler scheduler = newScheduler(1, 2);
 			declare(scheduler, 1, CellData.run("roster", 3, false));
-			scheduler.seconds(2);
+			scheduler.runSeconds(2);
 			scheduler.setStopsLost(true);
 			scheduler.queues()
-				.update(CellData.inForce(2, List.of(), List.of(CellData.run("roster", 3, false)), Set.of("roster@1")));
-			scheduler.seconds(2);
+				.update(CellData.activeState(2, List.of(), List.of(CellData.run("roster", 3, false)),
+						Set.of("roster@1")));
+			scheduler.runSeconds(2);
 			assertThat(QueueRecoveryTests.this.workers.running()).hasSize(3);
 			scheduler.setStopsLost(false);
-			scheduler.seconds(12);
+			scheduler.runSeconds(12);
 			assertThat(QueueRecoveryTests.this.workers.running()).isEmpty();
 		}
 
@@ -152,22 +153,22 @@
 		void writesNoRowsAndRestartsNoCancelledTask() {
 			FakeScheduler scheduler = newScheduler(1, 200);
 			declare(scheduler, 1, this.runs.toArray(new RunDeclaration[0]));
-			scheduler.seconds(3);
+			scheduler.runSeconds(3);
 			assertThat(QueueRecoveryTests.this.workers.running()).hasSize(1600);
 			int writesBefore = QueueRecoveryTests.this.table.rowsWritten();
 			int commandsBefore = QueueRecoveryTests.this.workers.commands();
-			scheduler.queues().update(CellData.inForce(2, List.of(), this.runs, this.all));
+			scheduler.queues().update(CellData.activeState(2, List.of(), this.runs, this.all));
 			scheduler.tick();
 			assertThat(QueueRecoveryTests.this.workers.commands() - commandsBefore).isEqualTo(200);
 			assertThat(QueueRecoveryTests.this.workers.running()).isEmpty();
-			scheduler.queues().update(CellData.inForce(3, List.of(), this.runs, this.all));
-			scheduler.seconds(3);
+			scheduler.queues().update(CellData.activeState(3, List.of(), this.runs, this.all));
+			scheduler.runSeconds(3);
 			FakeScheduler successor = newScheduler(2, 200);
-			successor.queues().update(CellData.inForce(3, List.of(), this.runs, this.all));
+			successor.queues().update(CellData.activeState(3, List.of(), this.runs, this.all));
 			successor.queues().acquireOwnership(CellData.TEAM, 2);
 			successor.control().drain();
 			successor.queues().activate(CellData.TEAM);
-			successor.seconds(3);
+			successor.runSeconds(3);
 			assertThat(counts(successor)).containsOnlyKeys(TaskState.CANCELLED).containsValue(JOBS);
 			assertThat(QueueRecoveryTests.this.workers.running()).isEmpty();
 			assertThat(QueueRecoveryTests.this.workers.runs()).hasSize(1600);
@@ -186,11 +187,11 @@
 			runs.add(CellData.run("wages", 1, true));
 			declare(scheduler, 1, runs.toArray(new RunDeclaration[0]));
 			QueueRecoveryTests.this.table.setDown(true);
-			scheduler.seconds(5);
+			scheduler.runSeconds(5);
 			QueueRecoveryTests.this.workers.finishAll();
-			scheduler.seconds(5);
+			scheduler.runSeconds(5);
 			QueueRecoveryTests.this.workers.finishAll();
-			scheduler.seconds(20);
+			scheduler.runSeconds(20);
 			assertThat(counts(scheduler)).containsEntry(TaskState.FINISHED, 2000);
 			assertThat(scheduler.queues()
 				.jobStatuses()
@@ -200,11 +201,11 @@
 			QueueRecoveryTests.this.table.setDown(false);
 			for (int second = 0; second < 8; second++) {
 				int before = QueueRecoveryTests.this.table.rowsWritten();
-				scheduler.second();
+				scheduler.runSecond();
 				assertThat(QueueRecoveryTests.this.table.rowsWritten() - before).isLessThanOrEqualTo(300);
 			}
 			QueueRecoveryTests.this.workers.finishAll();
-			scheduler.seconds(3);
+			scheduler.runSeconds(3);
 			assertThat(counts(scheduler)).containsOnlyKeys(TaskState.FINISHED);
 			assertThat(QueueRecoveryTests.this.table.rows("jobs/")).hasSize(2001);
 			assertThat(QueueRecoveryTests.this.workers.runs().values()).containsOnly(1);
@@ -214,13 +215,13 @@
 		void thatBlocksLoadingOneJobDelaysNoOther() {
 			FakeScheduler scheduler = newScheduler(1, 2);
 			declare(scheduler, 1, CellData.run("roster", 1, false));
-			scheduler.seconds(2);
+			scheduler.runSeconds(2);
 			QueueRecoveryTests.this.table.setDown(true);
 			scheduler.queues()
-				.update(CellData.inForce(2, CellData.run("roster", 1, false), CellData.run("points", 1, false),
+				.update(CellData.activeState(2, CellData.run("roster", 1, false), CellData.run("points", 1, false),
 						CellData.run("wages", 1, true)));
 			QueueRecoveryTests.this.workers.finishAll();
-			scheduler.seconds(3);
+			scheduler.runSeconds(3);
 			assertThat(counts(scheduler)).containsEntry(TaskState.FINISHED, 1).containsEntry(TaskState.RUNNING, 1);
 			assertThat(QueueRecoveryTests.this.workers.runs()).containsOnlyKeys("roster@1/0", "points@1/0");
 		}
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/queue/RunOnceTests.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/queue/RunOnceTests.java
@@ -40,18 +40,18 @@
 
 	private FakeScheduler newScheduler(String name, long epoch) {
 		FakeScheduler created = new FakeScheduler(name, this.table, this.workers, this.time);
-		created.hosts(HOSTS);
+		created.updateHosts(HOSTS);
 		created.racks().acquireOwnership("r1", epoch);
 		return created;
 	}
 
 	@BeforeEach
 	void receiveWorkerReports() {
-		this.scheduler.work();
+		this.scheduler.runScheduledWork();
 	}
 
 	private void declare(FakeScheduler scheduler, int tasks, long epoch) {
-		scheduler.queues().update(CellData.inForce(1, CellData.run("wages", tasks, true)));
+		scheduler.queues().update(CellData.activeState(1, CellData.run("wages", tasks, true)));
 		scheduler.queues().acquireOwnership(CellData.TEAM, epoch);
 		scheduler.control().drain();
 		scheduler.queues().activate(CellData.TEAM);
@@ -62,7 +62,7 @@
 	}
 
 	private FakeWorkers.FakeWorker busyWorker() {
-		return this.workers.worker((this.workers.worker("w1").runningHere() > 0) ? "w1" : "w2");
+		return this.workers.worker((this.workers.worker("w1").runningCount() > 0) ? "w1" : "w2");
 	}
 
 	private void assertNoTaskRanTwice(int tasks) {
@@ -79,14 +79,14 @@
 		@BeforeEach
 		void runOneTask() {
 			declare(RunOnceTests.this.scheduler, 1, 1);
-			RunOnceTests.this.scheduler.seconds(2);
+			RunOnceTests.this.scheduler.runSeconds(2);
 			assertThat(counts(RunOnceTests.this.scheduler)).containsOnlyKeys(TaskState.RUNNING);
 			busyWorker().setUnreachable(true);
 		}
 
 		@Test
 		void keepsItsTaskInDoubtWithoutATimeLimit() {
-			RunOnceTests.this.scheduler.seconds(600);
+			RunOnceTests.this.scheduler.runSeconds(600);
 			assertThat(counts(RunOnceTests.this.scheduler)).containsOnlyKeys(TaskState.IN_DOUBT);
 			assertThat(RunOnceTests.this.scheduler.queues().jobStatuses().get(0).waitReason())
 				.isEqualTo(WaitReason.WORKER_SILENT);
@@ -96,12 +96,12 @@
 		@Test
 		void hasItsTaskConfirmedWhenItRespondsAgain() {
 			FakeWorkers.FakeWorker busy = busyWorker();
-			RunOnceTests.this.scheduler.seconds(10);
+			RunOnceTests.this.scheduler.runSeconds(10);
 			busy.setUnreachable(false);
-			RunOnceTests.this.scheduler.seconds(2);
+			RunOnceTests.this.scheduler.runSeconds(2);
 			assertThat(counts(RunOnceTests.this.scheduler)).containsOnlyKeys(TaskState.RUNNING);
 			RunOnceTests.this.workers.finishAll();
-			RunOnceTests.this.scheduler.seconds(3);
+			RunOnceTests.this.scheduler.runSeconds(3);
 			assertThat(counts(RunOnceTests.this.scheduler)).containsOnlyKeys(TaskState.FINISHED);
 			assertNoTaskRanTwice(1);
 		}
@@ -109,12 +109,12 @@
 		@Test
 		void releasesItsTaskWhenItsNewIncarnationReports() {
 			FakeWorkers.FakeWorker busy = busyWorker();
-			RunOnceTests.this.scheduler.seconds(10);
+			RunOnceTests.this.scheduler.runSeconds(10);
 			busy.restart();
 			busy.setUnreachable(false);
-			RunOnceTests.this.scheduler.seconds(4);
+			RunOnceTests.this.scheduler.runSeconds(4);
 			assertThat(counts(RunOnceTests.this.scheduler)).containsOnlyKeys(TaskState.RUNNING);
-			assertThat(RunOnceTests.this.workers.mostAtOnce()).isOne();
+			assertThat(RunOnceTests.this.workers.maximumConcurrentRuns()).isOne();
 		}
 
 		@Test
@@ -123,11 +123,11 @@
 			String other = (busy == RunOnceTests.this.workers.worker("w1")) ? "w2" : "w1";
 			busy.restart();
 			FakeScheduler successor = newScheduler("second", 2);
-			successor.hosts(CellData.hosts(6, CellData.worker(other, "r1")));
+			successor.updateHosts(CellData.hosts(6, CellData.worker(other, "r1")));
 			declare(successor, 1, 2);
-			successor.seconds(4);
+			successor.runSeconds(4);
 			assertThat(counts(successor)).containsOnlyKeys(TaskState.RUNNING);
-			assertThat(RunOnceTests.this.workers.mostAtOnce()).isOne();
+			assertThat(RunOnceTests.this.workers.maximumConcurrentRuns()).isOne();
 		}
 
 		@Test
@@ -135,9 +135,9 @@
 			FakeScheduler successor = new FakeScheduler("second", RunOnceTests.this.table, RunOnceTests.this.workers,
 					RunOnceTests.this.time);
 			successor.racks().acquireOwnership("r1", 2);
-			successor.hosts(CellData.hosts(4));
+			successor.updateHosts(CellData.hosts(4));
 			declare(successor, 1, 2);
-			successor.seconds(10);
+			successor.runSeconds(10);
 			assertThat(counts(successor)).containsOnlyKeys(TaskState.IN_DOUBT);
 		}
 
@@ -150,10 +150,10 @@
 		void delaysTheStartWhileTheTableIsDown() {
 			declare(RunOnceTests.this.scheduler, 3, 1);
 			RunOnceTests.this.table.setDown(true);
-			RunOnceTests.this.scheduler.seconds(30);
+			RunOnceTests.this.scheduler.runSeconds(30);
 			assertThat(RunOnceTests.this.workers.runs()).isEmpty();
 			RunOnceTests.this.table.setDown(false);
-			RunOnceTests.this.scheduler.seconds(10);
+			RunOnceTests.this.scheduler.runSeconds(10);
 			assertNoTaskRanTwice(3);
 		}
 
@@ -161,9 +161,9 @@
 		void isReadBackWhenTheCommitReplyIsLost() {
 			declare(RunOnceTests.this.scheduler, 3, 1);
 			RunOnceTests.this.table.setAnswersLost(true);
-			RunOnceTests.this.scheduler.seconds(1);
+			RunOnceTests.this.scheduler.runSeconds(1);
 			RunOnceTests.this.table.setAnswersLost(false);
-			RunOnceTests.this.scheduler.seconds(4);
+			RunOnceTests.this.scheduler.runSeconds(4);
 			assertNoTaskRanTwice(3);
 			assertThat(counts(RunOnceTests.this.scheduler)).containsEntry(TaskState.RUNNING, 3);
 		}
@@ -174,10 +174,10 @@
 			RunOnceTests.this.table.setCommitsLate(true);
 			RunOnceTests.this.scheduler.tick();
 			RunOnceTests.this.table.setCommitsLate(false);
-			RunOnceTests.this.table.landLateCommits();
-			RunOnceTests.this.scheduler.seconds(20);
+			RunOnceTests.this.table.applyLateCommits();
+			RunOnceTests.this.scheduler.runSeconds(20);
 			assertThat(counts(RunOnceTests.this.scheduler)).containsOnlyKeys(TaskState.RUNNING);
-			assertThat(RunOnceTests.this.workers.mostAtOnce()).isOne();
+			assertThat(RunOnceTests.this.workers.maximumConcurrentRuns()).isOne();
 			assertThat(RunOnceTests.this.workers.running()).hasSize(1);
 		}
 
@@ -192,7 +192,7 @@
 			RunOnceTests.this.scheduler.control().clear();
 			FakeScheduler successor = newScheduler("second", 2);
 			declare(successor, 2, 2);
-			successor.seconds(6);
+			successor.runSeconds(6);
 			assertThat(counts(successor)).containsEntry(TaskState.RUNNING, 2);
 			assertNoTaskRanTwice(2);
 		}
@@ -214,7 +214,7 @@
 				(firstLeads ? RunOnceTests.this.scheduler : second).tick();
 				(firstLeads ? second : RunOnceTests.this.scheduler).tick();
 				RunOnceTests.this.time.advance(Duration.ofMillis(500));
-				RunOnceTests.this.scheduler.work();
+				RunOnceTests.this.scheduler.runScheduledWork();
 			}
 			assertNoTaskRanTwice(4);
 		}
@@ -222,26 +222,26 @@
 		@Test
 		void startNothingFromTheOnePausedDuringItsReservation() {
 			declare(RunOnceTests.this.scheduler, 1, 1);
-			RunOnceTests.this.scheduler.setReserveHeld(true);
+			RunOnceTests.this.scheduler.setReserveAnswersHeld(true);
 			RunOnceTests.this.scheduler.tick();
 			FakeScheduler successor = newScheduler("second", 2);
 			declare(successor, 1, 2);
-			successor.seconds(3);
+			successor.runSeconds(3);
 			assertNoTaskRanTwice(1);
-			RunOnceTests.this.scheduler.setReserveHeld(false);
-			RunOnceTests.this.scheduler.seconds(20);
+			RunOnceTests.this.scheduler.setReserveAnswersHeld(false);
+			RunOnceTests.this.scheduler.runSeconds(20);
 			assertNoTaskRanTwice(1);
 		}
 
 		@Test
 		void ignoreRepliesToRequestsFromAnEarlierOwnership() {
 			declare(RunOnceTests.this.scheduler, 1, 1);
-			RunOnceTests.this.scheduler.setReserveHeld(true);
+			RunOnceTests.this.scheduler.setReserveAnswersHeld(true);
 			RunOnceTests.this.scheduler.tick();
 			RunOnceTests.this.scheduler.queues().releaseOwnership(CellData.TEAM);
 			declare(RunOnceTests.this.scheduler, 1, 3);
-			RunOnceTests.this.scheduler.setReserveHeld(false);
-			RunOnceTests.this.scheduler.seconds(20);
+			RunOnceTests.this.scheduler.setReserveAnswersHeld(false);
+			RunOnceTests.this.scheduler.runSeconds(20);
 			assertNoTaskRanTwice(1);
 			int granted = RunOnceTests.this.scheduler.racks()
 				.workers()
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/rack/ProbationTests.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/rack/ProbationTests.java
@@ -29,11 +29,11 @@
 	private final FakeScheduler scheduler = new FakeScheduler("first", new FakeTable(), this.workers, this.time);
 
 	private void declare(RunDeclaration... runs) {
-		this.scheduler.hosts(CellData.hosts(1, CellData.worker("w1", "r1"), CellData.worker("w2", "r1"),
+		this.scheduler.updateHosts(CellData.hosts(1, CellData.worker("w1", "r1"), CellData.worker("w2", "r1"),
 				CellData.worker("w3", "r1"), CellData.worker("w4", "r1")));
 		this.scheduler.racks().acquireOwnership("r1", 1);
-		this.scheduler.work();
-		this.scheduler.queues().update(CellData.inForce(1, runs));
+		this.scheduler.runScheduledWork();
+		this.scheduler.queues().update(CellData.activeState(1, runs));
 		this.scheduler.queues().acquireOwnership(CellData.TEAM, 1);
 		this.scheduler.control().drain();
 		this.scheduler.queues().activate(CellData.TEAM);
@@ -41,7 +41,7 @@
 
 	private void finishAttemptsFor(int seconds) {
 		for (int second = 0; second < seconds; second++) {
-			this.scheduler.second();
+			this.scheduler.runSecond();
 			this.workers.finishAll();
 		}
 	}
@@ -75,7 +75,7 @@
 		int failures = this.workers.worker("w1").failures();
 		this.workers.worker("w1").setFailsAll(false);
 		finishAttemptsFor(25);
-		this.scheduler.second();
+		this.scheduler.runSecond();
 		assertThat(this.workers.worker("w1").failures()).isEqualTo(failures);
 		assertThat(this.scheduler.racks().summaries().get(0).workers()).isEqualTo(4);
 	}
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/rack/RackManagerTests.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/rack/RackManagerTests.java
@@ -214,7 +214,7 @@
 			assertThat(eventKinds()).containsExactly(AttemptEventKind.GONE);
 			acknowledgeAll();
 			advanceSeconds(1);
-			RackManagerTests.this.worker.landLateCommands();
+			RackManagerTests.this.worker.deliverLateCommands();
 			assertThat(RackManagerTests.this.workers.runs()).isEmpty();
 		}
 
@@ -226,7 +226,7 @@
 			RackManagerTests.this.worker.restart();
 			advanceSeconds(1);
 			assertThat(eventKinds()).containsExactly(AttemptEventKind.GONE);
-			RackManagerTests.this.worker.landLateCommands();
+			RackManagerTests.this.worker.deliverLateCommands();
 			assertThat(RackManagerTests.this.workers.runs()).isEmpty();
 		}
 
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/submission/CallerWriteTests.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/submission/CallerWriteTests.java
@@ -48,8 +48,8 @@
 
 	private CompletableFuture<AcceptOutcome> write(long waitMillis) {
 		long deadline = this.time.clock().nanos() + TimeUnit.MILLISECONDS.toNanos(waitMillis);
-		CompletableFuture<AcceptOutcome> outcome = new CallerWrite(new Ways(), WRITE, this.versions::add, this.time,
-				deadline)
+		CompletableFuture<AcceptOutcome> outcome = new CallerWrite(new WritePaths(), WRITE, this.versions::add,
+				this.time, deadline)
 			.begin();
 		this.time.runFor(0);
 		return outcome;
@@ -223,7 +223,7 @@
 
 	}
 
-	private final class Ways implements CallerWrite.Ways {
+	private final class WritePaths implements CallerWrite.WritePaths {
 
 		@Override
 		public long nanoTime() {
@@ -231,18 +231,18 @@
 		}
 
 		@Override
-		public boolean isOpen() {
+		public boolean isDirectPathOpen() {
 			return CallerWriteTests.this.open.getAsBoolean();
 		}
 
 		@Override
-		public CompletableFuture<PartitionCommit> direct(PartitionWrite write) {
+		public CompletableFuture<PartitionCommit> writeDirectly(PartitionWrite write) {
 			CallerWriteTests.this.directTries++;
 			return CallerWriteTests.this.direct.get();
 		}
 
 		@Override
-		public Optional<CompletableFuture<PartitionCommit>> relayed(PartitionWrite write) {
+		public Optional<CompletableFuture<PartitionCommit>> writeThroughPeer(PartitionWrite write) {
 			CallerWriteTests.this.relayedTries++;
 			return CallerWriteTests.this.relayed.get();
 		}
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/submission/JobStatesTests.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/submission/JobStatesTests.java
@@ -41,7 +41,7 @@
 
 	@Test
 	void areTheOwnersLastDurableWord() {
-		this.states.note("a", SubmissionState.QUEUED);
+		this.states.update("a", SubmissionState.QUEUED);
 		this.states.changed(List.of(progress(SubmissionState.RUNNING), progress(SubmissionState.COMPLETED)));
 		assertThat(this.states.state("a")).contains(SubmissionState.COMPLETED);
 	}
@@ -49,8 +49,8 @@
 	@Test
 	void doNotGoBackFromAnEnd() {
 		this.states.changed(List.of(progress(SubmissionState.FAILED)));
-		this.states.note("a", SubmissionState.QUEUED);
-		this.states.note("a", SubmissionState.CANCELLED);
+		this.states.update("a", SubmissionState.QUEUED);
+		this.states.update("a", SubmissionState.CANCELLED);
 		assertThat(this.states.state("a")).contains(SubmissionState.FAILED);
 	}
 
@@ -63,8 +63,8 @@
 
 	@Test
 	void areTakenFromOwnersWithoutTheFeed() {
-		this.states.told(Map.of("a", SubmissionState.RUNNING), counted(4, 3));
-		this.states.told(Map.of("a", SubmissionState.COMPLETED), Optional.empty());
+		this.states.applyOwnerUpdate(Map.of("a", SubmissionState.RUNNING), counted(4, 3));
+		this.states.applyOwnerUpdate(Map.of("a", SubmissionState.COMPLETED), Optional.empty());
 		assertThat(this.states.state("a")).contains(SubmissionState.COMPLETED);
 		assertThat(this.states.pending("q")).isEqualTo(3);
 	}
@@ -78,7 +78,7 @@
 	 */
 	@Test
 	void keepTheNewerCountWhenTheFeedBringsAnOlderOne() {
-		this.states.told(Map.of(), counted(9, 26));
+		this.states.applyOwnerUpdate(Map.of(), counted(9, 26));
 		this.states.changed(List.of(count(8, 10)));
 		assertThat(this.states.pending("q")).isEqualTo(26);
 		this.states.snapshot(JobTables.POOL_PARTITION, List.of(count(10, 27)));
@@ -88,14 +88,14 @@
 	@Test
 	void keepTheNewerCountWhenTheOwnersMessageComesLate() {
 		this.states.changed(List.of(count(9, 26)));
-		this.states.told(Map.of(), counted(8, 10));
+		this.states.applyOwnerUpdate(Map.of(), counted(8, 10));
 		assertThat(this.states.pending("q")).isEqualTo(26);
 	}
 
 	@Test
 	void areTakenFromAFormerOwnerButNotItsCount() {
-		this.states.told(Map.of(), counted(5, 3));
-		this.states.told(Map.of("a", SubmissionState.COMPLETED), counted(4, 9));
+		this.states.applyOwnerUpdate(Map.of(), counted(5, 3));
+		this.states.applyOwnerUpdate(Map.of("a", SubmissionState.COMPLETED), counted(4, 9));
 		assertThat(this.states.state("a")).contains(SubmissionState.COMPLETED);
 		assertThat(this.states.pending("q")).isEqualTo(3);
 	}
@@ -112,16 +112,16 @@
 	void areNotToldWhileTheOwnersWordCannotBeRead() {
 		this.states.changed(List.of(progress(SubmissionState.RUNNING), row("a", "PAUSED"),
 				row(JobTables.SUMMARY_KEY, "none"), progress(SubmissionState.RUNNING, "b")));
-		assertThat(this.states.isUnclear("a")).isTrue();
-		assertThat(this.states.isUnclear("b")).isFalse();
+		assertThat(this.states.isUnreadable("a")).isTrue();
+		assertThat(this.states.isUnreadable("b")).isFalse();
 		this.states.changed(List.of(progress(SubmissionState.COMPLETED)));
-		assertThat(this.states.isUnclear("a")).isFalse();
+		assertThat(this.states.isUnreadable("a")).isFalse();
 	}
 
 	@Test
 	void stayFinalIfTheOwnersWordCannotBeReadAnyMore() {
 		this.states.changed(List.of(progress(SubmissionState.FAILED), row("a", "PAUSED")));
-		assertThat(this.states.isUnclear("a")).isFalse();
+		assertThat(this.states.isUnreadable("a")).isFalse();
 		assertThat(this.states.state("a")).contains(SubmissionState.FAILED);
 	}
 
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/submission/StorageWatchTests.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/submission/StorageAvailabilityMonitorTests.java
@@ -9,7 +9,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class StorageWatchTests {
+class StorageAvailabilityMonitorTests {
 
 	private static final long CHECK_MILLIS = 50;
 
@@ -19,34 +19,35 @@
 
 	private int questions;
 
-	private final StorageWatch watch = new StorageWatch(() -> this.questions++,
+	private final StorageAvailabilityMonitor watch = new StorageAvailabilityMonitor(() -> this.questions++,
 			() -> TimeUnit.MILLISECONDS.toNanos(this.nowMillis), this.decisions::add);
 
 	private void runFor(long millis, Runnable each) {
 		for (long end = this.nowMillis + millis; this.nowMillis < end;) {
 			this.nowMillis += CHECK_MILLIS;
 			each.run();
-			this.watch.check();
+			this.watch.probeIfDue();
 		}
 	}
 
 	@Test
 	void asksNothingWhileAnswersCome() {
-		runFor(5000, this.watch::heard);
+		runFor(5000, this.watch::recordResponse);
 		assertThat(this.questions).isZero();
-		assertThat(this.watch.isAble()).isTrue();
+		assertThat(this.watch.isAvailable()).isTrue();
 	}
 
 	@Test
 	void findsASilentTableOutWithinASecondAndItsReturnAtOnce() {
-		runFor(StorageWatch.DOUBT_MILLIS + StorageWatch.UNANSWERED_MILLIS + 2 * CHECK_MILLIS, () -> {
-		});
-		assertThat(this.watch.isAble()).isFalse();
+		runFor(StorageAvailabilityMonitor.SILENCE_MILLIS + StorageAvailabilityMonitor.PROBE_TIMEOUT_MILLIS
+				+ 2 * CHECK_MILLIS, () -> {
+				});
+		assertThat(this.watch.isAvailable()).isFalse();
 		runFor(2000, () -> {
 		});
 		assertThat(this.questions).isGreaterThan(5);
-		this.watch.heard();
-		assertThat(this.watch.isAble()).isTrue();
+		this.watch.recordResponse();
+		assertThat(this.watch.isAvailable()).isTrue();
 		assertThat(this.decisions).hasSize(2);
 	}
 
@@ -54,20 +55,20 @@
 	void takesASlowTableForOneThatAnswers() {
 		runFor(5000, () -> {
 			if (this.nowMillis % 500 == 0) {
-				this.watch.heard();
+				this.watch.recordResponse();
 			}
 		});
-		assertThat(this.watch.isAble()).isTrue();
+		assertThat(this.watch.isAvailable()).isTrue();
 	}
 
 	@Test
 	void doesNotWaitOutATableThatTurnsQuestionsDown() {
-		runFor(StorageWatch.DOUBT_MILLIS + CHECK_MILLIS, () -> {
+		runFor(StorageAvailabilityMonitor.SILENCE_MILLIS + CHECK_MILLIS, () -> {
 		});
-		this.watch.questionFailed();
-		assertThat(this.watch.isAble()).isTrue();
-		this.watch.questionFailed();
-		assertThat(this.watch.isAble()).isFalse();
+		this.watch.recordFailedProbe();
+		assertThat(this.watch.isAvailable()).isTrue();
+		this.watch.recordFailedProbe();
+		assertThat(this.watch.isAvailable()).isFalse();
 	}
 
 }
--- a/monsoonrelay-scheduler/src/main/java/org/monsoonrelay/scheduler/CellStatusCollector.java
+++ b/monsoonrelay-scheduler/src/main/java/org/monsoonrelay/scheduler/CellStatusCollector.java
@@ -68,7 +68,7 @@
 	private CompletableFuture<CellStatus> collectOnControlThread() {
 		List<ProcessStatus> processes = new ArrayList<>();
 		processes.add(new ProcessStatus(this.session, this.settings.node().peerAddress(), SchedulerNode.ROLE,
-				this.settings.node().failureDomain(), this.tracker.inForce().head().version()));
+				this.settings.node().failureDomain(), this.tracker.activeState().head().version()));
 		Map<String, JobStatus> jobs = new TreeMap<>();
 		this.queues.jobStatuses().forEach((status) -> jobs.put(status.id().toString(), status));
 		List<String> missing = new ArrayList<>();
@@ -87,8 +87,8 @@
 			.filter((address) -> !knownAddresses.contains(address))
 			.forEach(missing::add);
 		return CompletableFuture.allOf(pendingReplies.toArray(CompletableFuture[]::new))
-			.thenApplyAsync((done) -> new CellStatus(this.tracker.inForce().head().version(),
-					this.tracker.inForce().state().textVersion(), processes, missing, List.copyOf(jobs.values()),
+			.thenApplyAsync((done) -> new CellStatus(this.tracker.activeState().head().version(),
+					this.tracker.activeState().state().textVersion(), processes, missing, List.copyOf(jobs.values()),
 					workerCapacity()), this.control);
 	}
 
--- a/monsoonrelay-scheduler/src/main/java/org/monsoonrelay/scheduler/OperatorRoutes.java
+++ b/monsoonrelay-scheduler/src/main/java/org/monsoonrelay/scheduler/OperatorRoutes.java
@@ -15,13 +15,13 @@
 import org.monsoonrelay.adapters.operator.EditReply;
 import org.monsoonrelay.adapters.operator.EditRequest;
 import org.monsoonrelay.adapters.operator.StateMessage;
+import org.monsoonrelay.logic.control.ActiveControlState;
 import org.monsoonrelay.logic.control.AuditQuery;
 import org.monsoonrelay.logic.control.ControlLog;
 import org.monsoonrelay.logic.control.ControlTracker;
 import org.monsoonrelay.logic.control.ControlVersion;
 import org.monsoonrelay.logic.control.Edit;
 import org.monsoonrelay.logic.control.EditOutcome;
-import org.monsoonrelay.logic.control.InForce;
 import org.monsoonrelay.logic.platform.Json;
 import org.monsoonrelay.model.control.ControlHead;
 import org.monsoonrelay.model.control.ControlState;
@@ -126,13 +126,13 @@
 	}
 
 	private CompletableFuture<ControlVersion> loadVersion(ControlHead head) {
-		return (head.version() <= this.tracker.inForce().head().version())
+		return (head.version() <= this.tracker.activeState().head().version())
 				? CompletableFuture.completedFuture(inForceVersion())
 				: this.log.state(head).thenApply((state) -> new ControlVersion(head, state));
 	}
 
 	private ControlVersion inForceVersion() {
-		InForce current = this.tracker.inForce();
+		ActiveControlState current = this.tracker.activeState();
 		return new ControlVersion(current.head(), current.state());
 	}
 
--- a/monsoonrelay-scheduler/src/main/java/org/monsoonrelay/scheduler/SchedulerNode.java
+++ b/monsoonrelay-scheduler/src/main/java/org/monsoonrelay/scheduler/SchedulerNode.java
@@ -30,12 +30,12 @@
 import org.monsoonrelay.adapters.platform.HttpPlatform;
 import org.monsoonrelay.adapters.platform.HttpWorkerAgents;
 import org.monsoonrelay.adapters.platform.MeteredTable;
+import org.monsoonrelay.logic.control.ActiveControlState;
 import org.monsoonrelay.logic.control.ControlLog;
 import org.monsoonrelay.logic.control.ControlTracker;
-import org.monsoonrelay.logic.control.InForce;
 import org.monsoonrelay.logic.membership.OwnershipKeeper;
 import org.monsoonrelay.logic.platform.HostList;
-import org.monsoonrelay.logic.platform.SteadyClock;
+import org.monsoonrelay.logic.platform.MonotonicInstantSource;
 import org.monsoonrelay.logic.platform.TableKeys;
 import org.monsoonrelay.logic.platform.TableService;
 import org.monsoonrelay.logic.platform.WriteBudget;
@@ -123,7 +123,7 @@
 	SchedulerNode(SchedulerSettings settings) {
 		this.settings = settings;
 		Clock clock = Clock.systemUTC();
-		InstantSource time = new SteadyClock(clock, System::nanoTime);
+		InstantSource time = new MonotonicInstantSource(clock, System::nanoTime);
 		MetricRegistry metrics = new MetricRegistry();
 		this.platform = new HttpPlatform(settings.node().platformAddress(), PLATFORM_TIMEOUT);
 		this.hostListFollower = new HostListFollower(this.platform, (list) -> this.control.execute(() -> update(list)));
@@ -193,7 +193,7 @@
 	private void runPeriodicWork() {
 		this.follower.poll();
 		this.hostListFollower.poll(this.network, this.settings.node().peerAddresses());
-		this.ownership.round(requiredOwners());
+		this.ownership.runRound(requiredOwners());
 		this.jobRowBudget.setRowsPerSecond(Math.max(1, JOB_ROWS_PER_SECOND / this.ownership.liveCount()));
 		this.peers.removeUnresponsive(System.nanoTime()).forEach(this.racks::removeSession);
 		this.racks.update(this.session, this.rackManager.summaries());
@@ -215,7 +215,7 @@
 				WorkersRoom.of(this.rackManager.summaries()), events);
 	}
 
-	private void update(InForce next) {
+	private void update(ActiveControlState next) {
 		this.awaitedDependencies.update(next.text());
 		this.queueManager.update(next);
 	}
@@ -235,7 +235,7 @@
 			.stream()
 			.filter((host) -> host.kind() == HostKind.WORKER)
 			.forEach((host) -> failureDomainByKey.put(TableKeys.RACKS + host.rack(), host.failureDomain()));
-		for (Team team : this.tracker.inForce().text().teams()) {
+		for (Team team : this.tracker.activeState().text().teams()) {
 			failureDomainByKey.put(TableKeys.QUEUES + team.name(), "");
 		}
 		return failureDomainByKey;
@@ -269,7 +269,7 @@
 			.setRole(ROLE)
 			.setAddress(this.settings.node().peerAddress())
 			.setFailureDomain(this.settings.node().failureDomain())
-			.setVersion(this.tracker.inForce().head().version())
+			.setVersion(this.tracker.activeState().head().version())
 			.addAllTeams(this.queueManager.teams())
 			.addAllSatisfied(this.awaitedDependencies.awaitedByOtherOwners(this.queueManager.teams(),
 					this.queueManager.satisfiedDependencies()));
--- a/monsoonrelay-scheduler/src/main/java/org/monsoonrelay/scheduler/pool/HostRegistry.java
+++ b/monsoonrelay-scheduler/src/main/java/org/monsoonrelay/scheduler/pool/HostRegistry.java
@@ -10,8 +10,8 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 
+import org.monsoonrelay.logic.platform.ExecutorCallback;
 import org.monsoonrelay.logic.platform.Json;
-import org.monsoonrelay.logic.platform.OnThread;
 import org.monsoonrelay.logic.platform.PartitionCommit;
 import org.monsoonrelay.logic.platform.PartitionWrite;
 import org.monsoonrelay.logic.platform.PartitionedTable;
@@ -89,7 +89,7 @@
 
 	private void register() {
 		PartitionWrite write = PartitionWrite.to("").put(JobTables.HOSTS, this.self.host(), Json.write(this.self));
-		this.table.commit(write).whenComplete(OnThread.of(this.control, (commit, failure) -> {
+		this.table.commit(write).whenComplete(ExecutorCallback.on(this.control, (commit, failure) -> {
 			if (!(commit instanceof PartitionCommit.Committed)) {
 				this.control.schedule(this::register, REGISTER_RETRY_MILLIS, TimeUnit.MILLISECONDS);
 			}
--- a/monsoonrelay-standin/src/main/java/org/monsoonrelay/standin/DemoCommand.java
+++ b/monsoonrelay-standin/src/main/java/org/monsoonrelay/standin/DemoCommand.java
@@ -42,7 +42,7 @@
 
 	@Override
 	public Integer call() throws IOException {
-		CellText text = new CellTextParser().accepted(Files.readString(this.root.resolve(this.example)));
+		CellText text = new CellTextParser().parseAccepted(Files.readString(this.root.resolve(this.example)));
 		ServiceDeclaration service = text.services().get(0);
 		Path folder = Files.createTempDirectory("monsoonrelay-demo");
 		CellProcesses cell = new CellProcesses(CellLayout.of(2, 2, 16, 6, service.name()), this.root, folder);
--- a/monsoonrelay-systemtests/src/test/java/org/monsoonrelay/systemtests/PathTests.java
+++ b/monsoonrelay-systemtests/src/test/java/org/monsoonrelay/systemtests/PathTests.java
@@ -25,7 +25,7 @@
 
 	@Test
 	void textIsAppliedTasksRunOnceAndCallersAreAnswered(@TempDir Path folder) throws IOException {
-		ServiceDeclaration service = new CellTextParser().accepted(Files.readString(EXAMPLE)).services().get(0);
+		ServiceDeclaration service = new CellTextParser().parseAccepted(Files.readString(EXAMPLE)).services().get(0);
 		CellLayout layout = CellLayout.of(2, 2, 16, 6, service.name());
 		try (CellProcesses cell = new CellProcesses(layout, TestCell.ROOT, folder)) {
 			cell.startAll(5);
--- a/monsoonrelay-systemtests/src/test/java/org/monsoonrelay/systemtests/TestCell.java
+++ b/monsoonrelay-systemtests/src/test/java/org/monsoonrelay/systemtests/TestCell.java
@@ -53,7 +53,7 @@
 
 	private final Path folder;
 
-	private final ServiceDeclaration service = new CellTextParser().accepted(text()).services().get(0);
+	private final ServiceDeclaration service = new CellTextParser().parseAccepted(text()).services().get(0);
 
 	private final CallerLoad callers;
 
