--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/HostRecord.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/HostRecord.java
@@ -5,27 +5,27 @@
 import org.monsoonrelay.model.host.HostAddress;
 
 /**
- * A host of this system as it registers in the table. Immutable.
+ * The registration of a host of this system in the table. Stored as JSON. Immutable.
  *
  * @param host the host's name
- * @param failureDomain where it stands
- * @param peerAddress where it listens for peers, {@code host:port}
- * @param incarnation random id of its process
- * @param processors what the host may use of processors; 0 if it did not say
- * @param linkMbps what its link carries, megabits a second; 0 if it did not say
- * @param stopping whether its process is about to stop
+ * @param failureDomain the host's failure domain
+ * @param peerAddress address at which the host listens for peers, {@code host:port}
+ * @param incarnation random id of the host's process
+ * @param processors number of processors that the host may use; 0 if not known
+ * @param linkMbps bandwidth of the host's link, megabits per second; 0 if not known
+ * @param stopping whether the host's process is about to stop
  */
 public record HostRecord(String host, String failureDomain, String peerAddress, String incarnation, double processors,
 		double linkMbps, boolean stopping) {
 
 	/**
-	 * The record of a host whose link is not known.
+	 * Creates the record of a host whose link bandwidth is not known.
 	 * @param host the host's name
-	 * @param failureDomain where it stands
-	 * @param peerAddress where it listens for peers, {@code host:port}
-	 * @param incarnation random id of its process
-	 * @param processors what the host may use of processors; 0 if it did not say
-	 * @param stopping whether its process is about to stop
+	 * @param failureDomain the host's failure domain
+	 * @param peerAddress address at which the host listens for peers, {@code host:port}
+	 * @param incarnation random id of the host's process
+	 * @param processors number of processors that the host may use; 0 if not known
+	 * @param stopping whether the host's process is about to stop
 	 */
 	public HostRecord(String host, String failureDomain, String peerAddress, String incarnation, double processors,
 			boolean stopping) {
@@ -33,7 +33,7 @@
 	}
 
 	/**
-	 * What the host may use.
+	 * Returns the resources that the host may use.
 	 * @return its size
 	 */
 	HostSize size() {
@@ -48,7 +48,7 @@
 	}
 
 	/**
-	 * The record of the same process once it has been told to stop.
+	 * Returns the record of the same process once it has been asked to stop.
 	 * @return the record
 	 */
 	public HostRecord asStopping() {
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/HostSize.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/HostSize.java
@@ -4,28 +4,29 @@
 import java.util.Comparator;
 
 /**
- * What a host may use of processors and of the network, as the platform told it.
- * Immutable.
+ * The processors and network bandwidth that a host may use, as reported by the platform.
+ * Stored as JSON. Immutable.
  *
- * @param processors whole processors and shares of one; 0 if not told
- * @param linkMbps what its link carries, megabits a second; 0 if not told
+ * @param processors number of processors, possibly fractional; 0 if not reported
+ * @param linkMbps bandwidth of its link, megabits per second; 0 if not reported
  */
 public record HostSize(double processors, double linkMbps) {
 
-	/** The size of a host of which nothing is known. */
+	/** The size of a host that reported nothing. */
 	static final HostSize UNKNOWN = new HostSize(0, 0);
 
 	/**
-	 * Share of the largest host's processors and link from which a host counts as large:
-	 * it takes twice as long at most over what an owner does. One with a quarter of the
-	 * processors could not take in 245 workers and renew its row meanwhile.
+	 * Minimum share of the largest host's processors and bandwidth for a host to count as
+	 * large: the work of an owner then takes at most twice as long. A host with a quarter
+	 * of the processors could not take over 245 workers and renew its row at the same
+	 * time.
 	 */
 	static final double MIN_LARGE_SHARE = 0.5;
 
 	/**
-	 * Whether a host of this size may own a pool as well as one of another size.
+	 * Whether a host of this size can own the pool as well as a host of another size.
 	 * @param other the other size
-	 * @return {@code true} if neither processors nor link are far smaller
+	 * @return {@code true} if neither processors nor bandwidth are far smaller
 	 */
 	boolean isLargeComparedTo(HostSize other) {
 		return this.processors >= MIN_LARGE_SHARE * other.processors
@@ -33,10 +34,11 @@
 	}
 
 	/**
-	 * The size of the host that has least to fear of being short of one of the two, which
-	 * one host has: it counts as large itself.
+	 * Returns the size of the best balanced host: the one whose smaller share of the
+	 * maximum processors and of the maximum bandwidth is the greatest. It is the size of
+	 * an existing host, so that at least that host counts as large.
 	 * @param sizes the sizes of hosts
-	 * @return the largest of them, unknown if there are none
+	 * @return the largest of them, {@link #UNKNOWN} if there are none
 	 */
 	static HostSize largest(Collection<HostSize> sizes) {
 		double processors = sizes.stream().mapToDouble(HostSize::processors).max().orElse(0);
@@ -50,8 +52,8 @@
 			.orElse(UNKNOWN);
 	}
 
-	private static double share(double part, double most) {
-		return (most > 0) ? part / most : 1;
+	private static double share(double part, double maximum) {
+		return (maximum > 0) ? part / maximum : 1;
 	}
 
 }
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/JobRegistry.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/JobRegistry.java
@@ -19,13 +19,17 @@
 import org.monsoonrelay.model.submission.SubmittedJob;
 
 /**
- * All jobs that the owner knows, the steps that may run, and which progress is not
- * durable yet. Invariant: a step is open only while its job has not ended, its time has
- * come and the steps before it are done. Not thread-safe: confined to the control thread.
+ * The jobs that the owner knows, their open steps, and the jobs whose progress is not
+ * durable yet. Invariant: a step is opened only if its job has not ended, its due time
+ * has passed, and the steps that it depends on are complete. Not thread-safe: confined to
+ * the control thread.
  */
 final class JobRegistry {
 
-	/** Attempts of an earlier owner lie below this many for each epoch. */
+	/**
+	 * Number of attempt numbers that are reserved for each epoch. Attempts of this owner
+	 * for inherited jobs are numbered above those of all earlier epochs.
+	 */
 	private static final int ATTEMPTS_PER_EPOCH = 16;
 
 	private final long epoch;
@@ -57,9 +61,9 @@
 	}
 
 	/**
-	 * Take in a job, once.
+	 * Adds a job if it is not known yet.
 	 * @param submission the job
-	 * @param progress what an earlier owner made durable, if anything
+	 * @param progress the progress that an earlier owner stored, if any
 	 * @param isInherited whether an earlier owner may have started tasks of it
 	 * @return {@code true} if it was not known
 	 */
@@ -88,7 +92,8 @@
 	}
 
 	/**
-	 * Take in a job that had ended before this owner came. Nothing else of it is kept.
+	 * Adds the id of a job that had ended before this owner took over. Only the id is
+	 * kept.
 	 * @param id the job's id
 	 */
 	void addEnded(String id) {
@@ -100,9 +105,9 @@
 	}
 
 	/**
-	 * Cancel a job.
+	 * Cancels a job. If the job is not known yet, it is cancelled when it is added.
 	 * @param id the job's id
-	 * @return the job, if that ended it
+	 * @return the job, if this ended it
 	 */
 	Optional<SubmittedJob> cancel(String id) {
 		SubmittedJob job = this.jobs.get(id);
@@ -121,16 +126,16 @@
 	}
 
 	/**
-	 * Open the steps whose time has come and close those that are over, of the jobs for
-	 * which anything has changed. Going through all jobs in each turn grew with the jobs
-	 * of the pool.
-	 * @param nowMillis the time of day
+	 * Opens the steps that are due and closes those that are complete. Only jobs with a
+	 * change or a timetable are considered, since the cost of visiting all jobs in each
+	 * turn grew with the size of the pool.
+	 * @param nowMillis current time, epoch milliseconds
 	 */
 	void updateSteps(long nowMillis) {
-		Set<String> due = new LinkedHashSet<>(this.timetabled);
-		due.addAll(this.changed);
+		Set<String> candidates = new LinkedHashSet<>(this.timetabled);
+		candidates.addAll(this.changed);
 		this.changed.clear();
-		for (String id : due) {
+		for (String id : candidates) {
 			SubmittedJob job = this.jobs.get(id);
 			closeSteps(id);
 			if (job.isEnded()) {
@@ -168,8 +173,9 @@
 	}
 
 	/**
-	 * Open a step that a worker says is running. The ends before it may be listed by
-	 * workers that have not been looked at yet.
+	 * Opens a step that a worker reports as running, even if the steps that it depends on
+	 * are not known to be complete: their ends may be listed by workers that have not
+	 * been polled yet.
 	 * @param key the step
 	 * @return the step, empty if there is no such step or its job has ended
 	 */
@@ -193,19 +199,19 @@
 	}
 
 	/**
-	 * Start nothing of a job until the owner's row is written again: another owner may
-	 * have taken over before the job came.
+	 * Defers the start of a job's tasks until the owner's row is written again, as
+	 * another owner may have taken over before the job was stored.
 	 * @param id the job's id
-	 * @param version version of its row
+	 * @param version version of the job's row
 	 */
 	void deferStart(String id, long version) {
 		this.deferred.put(id, version);
 	}
 
 	/**
-	 * Hold back no job any more that is known to have been stored before the owner's row
-	 * was written.
-	 * @param isConfirmed tells that by the version of the job's row
+	 * Allows the start of deferred jobs that were stored before the owner's row was
+	 * written.
+	 * @param isConfirmed determines this from the version of a job's row
 	 */
 	void releaseDeferred(LongPredicate isConfirmed) {
 		this.deferred.values().removeIf(isConfirmed::test);
@@ -224,7 +230,7 @@
 	}
 
 	/**
-	 * Note that a job's progress has to become durable.
+	 * Marks a job's progress as to be written.
 	 * @param job the job
 	 */
 	void markDirty(SubmittedJob job) {
@@ -233,12 +239,12 @@
 	}
 
 	/**
-	 * Take jobs whose progress is to be written next.
-	 * @param most the most jobs
-	 * @return the jobs, removed from those that wait
+	 * Removes jobs whose progress is to be written next from the dirty jobs.
+	 * @param maximum the maximum number of jobs
+	 * @return the jobs
 	 */
-	List<SubmittedJob> takeDirty(int most) {
-		List<String> taken = this.dirty.stream().limit(most).toList();
+	List<SubmittedJob> takeDirty(int maximum) {
+		List<String> taken = this.dirty.stream().limit(maximum).toList();
 		taken.forEach(this.dirty::remove);
 		return taken.stream().map(this.jobs::get).toList();
 	}
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/JobTableReplica.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/JobTableReplica.java
@@ -18,24 +18,25 @@
 import org.monsoonrelay.model.submission.Submission;
 
 /**
- * The jobs in the table as this process knows them. Every scheduler follows them at its
- * leisure, so that one which takes the pool over has to read but the last half second. An
- * owner is told of all jobs once the progress of earlier owners is known up to its
- * take-over, and then of each new one. Invariants: an owner hears of a job with the last
- * progress that an earlier owner made durable; a partition that does not answer holds up
- * its own jobs alone; an owner does not hear of a job of which a row cannot be read, and
- * leaves its runs alone. Not thread-safe: confined to the control thread.
+ * A local replica of the job tables. Every scheduler keeps one with a low poll rate, so
+ * that after a take-over only the changes of the last half second have to be read. Once
+ * the progress of former owners is read up to the take-over, all known jobs are replayed
+ * to the new owner; later jobs are delivered as they arrive. Invariants: a job is
+ * delivered with the last progress that a former owner made durable; a partition that
+ * does not answer delays its own jobs only; a job with an unreadable row is not delivered
+ * and its runs are left as they are. Not thread-safe: confined to the control thread.
  */
 public final class JobTableReplica {
 
 	/**
-	 * Time in which changes gather for an owner; gateways mostly tell it of them sooner.
+	 * Poll interval of the job table at the owner, which usually learns of changes from
+	 * gateways first.
 	 */
 	private static final Duration OWNER_POLL_INTERVAL = Duration.ofMillis(100);
 
 	/**
-	 * The same for a process that stands ready: two calls a second and table, and some
-	 * twenty jobs to catch up with at a take-over.
+	 * Poll interval of a standby: causes two calls per second and table, and leaves about
+	 * twenty jobs to read at a take-over.
 	 */
 	private static final Duration STANDBY_POLL_INTERVAL = Duration.ofMillis(500);
 
@@ -53,10 +54,10 @@
 
 	private final Set<String> loadedPartitions = new HashSet<>();
 
-	/** Jobs whose row cannot be read. */
+	/** Ids of jobs whose row cannot be read. */
 	private final Set<String> unreadableJobs = new HashSet<>();
 
-	/** Jobs whose progress cannot be read. */
+	/** Ids of jobs whose progress cannot be read. */
 	private final Set<String> unreadableProgress = new HashSet<>();
 
 	private final UnreadableRows unreadable;
@@ -72,10 +73,10 @@
 	private boolean allLoadedReported;
 
 	/**
-	 * Create an intake.
+	 * Creates a replica that does not follow the tables yet.
 	 * @param table the table
-	 * @param control the control thread
-	 * @param unreadable takes note of rows that cannot be read
+	 * @param control executor of the control thread
+	 * @param unreadable records rows that cannot be read
 	 */
 	public JobTableReplica(PartitionedTable table, ScheduledExecutorService control, UnreadableRows unreadable) {
 		this.unreadable = unreadable;
@@ -89,9 +90,7 @@
 		return this.owner.isPresent() ? OWNER_POLL_INTERVAL : STANDBY_POLL_INTERVAL;
 	}
 
-	/**
-	 * Begin to follow, unless that has begun.
-	 */
+	/** Starts to follow the tables. Has no effect if already started. */
 	public void start() {
 		if (!this.started) {
 			this.started = true;
@@ -100,16 +99,14 @@
 		}
 	}
 
-	/**
-	 * Follow no more.
-	 */
+	/** Stops following the tables. */
 	public void close() {
 		this.submissionFeed.close();
 		this.progressFeed.close();
 	}
 
 	/**
-	 * Tell an owner of the jobs from now on.
+	 * Attaches an owner, to which jobs are delivered from now on.
 	 * @param listener the owner
 	 */
 	void attach(Listener listener) {
@@ -124,12 +121,12 @@
 		}
 	}
 
-	// What an earlier owner wrote before the take-over is in this answer.
+	// The response contains all progress that a former owner wrote before the take-over.
 	private void catchUpProgress() {
-		Optional<Listener> asking = this.owner;
+		Optional<Listener> requested = this.owner;
 		this.progressFeed.catchUp(() -> {
-			if (asking.isPresent() && asking.equals(this.owner) && !this.replayed) {
-				replay(asking.get());
+			if (requested.isPresent() && requested.equals(this.owner) && !this.replayed) {
+				replay(requested.get());
 			}
 		});
 	}
@@ -143,7 +140,7 @@
 	}
 
 	/**
-	 * Tell an owner no more.
+	 * Detaches an owner. Has no effect if another owner is attached.
 	 * @param listener the owner
 	 */
 	void detach(Listener listener) {
@@ -154,7 +151,8 @@
 	}
 
 	/**
-	 * Whether the owner has been told of the jobs that are known, so that work can begin.
+	 * Whether the known jobs have been replayed to the owner, so that it can start to
+	 * work.
 	 * @return {@code true} if so
 	 */
 	boolean hasReplayed() {
@@ -162,8 +160,8 @@
 	}
 
 	/**
-	 * Whether the owner has been told of all jobs that lie in the partition of a job, and
-	 * of this one if it exists.
+	 * Whether all jobs of a job's partition have been delivered to the owner, including
+	 * this one if it exists.
 	 * @param job the job's id
 	 * @return {@code true} if so
 	 */
@@ -173,9 +171,9 @@
 	}
 
 	/**
-	 * Take in a job that was stored.
+	 * Adds a job that a gateway has stored.
 	 * @param submission the job
-	 * @param version the version of its row
+	 * @param version version of the job's row
 	 */
 	void jobAccepted(Submission submission, long version) {
 		addJob(new StoredJob(submission, version));
@@ -183,7 +181,7 @@
 	}
 
 	/**
-	 * Take in a cancellation that was stored.
+	 * Applies a cancellation that a gateway has stored.
 	 * @param job the job's id
 	 */
 	void jobCancelled(String job) {
@@ -347,37 +345,33 @@
 
 	}
 
-	/** An owner, told of jobs on the control thread. */
+	/** An owner that receives jobs, on the control thread. */
 	interface Listener {
 
 		/**
-		 * A job was submitted.
+		 * Called when a job was submitted.
 		 * @param submission the job
-		 * @param progress what an earlier owner made durable, if anything
-		 * @param version the version of its row
+		 * @param progress the progress that a former owner stored, if any
+		 * @param version version of the job's row
 		 */
 		void submitted(Submission submission, Optional<JobProgress> progress, long version);
 
 		/**
-		 * A job had ended before this owner came.
+		 * Called for a job that had ended before this owner took over.
 		 * @param job the job's id
 		 */
 		void alreadyEnded(String job);
 
 		/**
-		 * A caller has cancelled a job.
+		 * Called when a caller has cancelled a job.
 		 * @param job the job's id
 		 */
 		void cancelled(String job);
 
-		/**
-		 * Some jobs were told of.
-		 */
+		/** Called after jobs or cancellations have been delivered. */
 		void changed();
 
-		/**
-		 * All jobs have been told of for the first time.
-		 */
+		/** Called once when all jobs have been delivered. */
 		void allLoaded();
 
 	}
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/OwnerElection.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/OwnerElection.java
@@ -21,40 +21,41 @@
 import org.monsoonrelay.logic.submission.JobTables;
 
 /**
- * Watches the owner's row and takes the pool over when it is free: given up, never taken,
- * or unchanged for the lapse while the row could be read. An owner that peers heard of
- * and hear of no more is followed sooner. Hosts that stand ready go first. The take-over
- * is a write on condition of the row's version, so that one process wins. Not
- * thread-safe: confined to the control thread.
+ * Watches the owner's row and takes the pool over when it has no owner: the row was
+ * released, was never written, or has not changed for {@link OwnerLease#EXPIRY_MILLIS}
+ * while readable; earlier if the owner's heartbeats stop. {@link TakeOverPolicy} decides
+ * which host goes first. A take-over is a write on condition of the row's version, so
+ * that one process succeeds. Not thread-safe: confined to the control thread.
  */
 public final class OwnerElection implements TableFollower.Listener {
 
-	/** How often the row's age is checked, milliseconds. */
+	/** Interval between checks of the row's age, milliseconds. */
 	private static final long CHECK_INTERVAL_MILLIS = 100;
 
 	/**
-	 * Least time between two reads of the row, which changes with each of the owner's
-	 * writes. Without it six schedulers made 360 of 513 calls a second to the table.
+	 * Minimum interval between reads of the row, which changes with every write of the
+	 * owner. Without it, six schedulers caused 360 of 513 calls per second to the table.
 	 */
 	private static final Duration ROW_POLL_INTERVAL = Duration.ofMillis(400);
 
 	/**
-	 * The same while heartbeats tell that the row moves on; the row is read when they
-	 * stop.
+	 * Minimum interval between reads of the row while heartbeats show that the owner
+	 * renews it. When they stop, the row is read again before a take-over.
 	 */
 	private static final Duration ROW_POLL_INTERVAL_WITH_HEARTBEATS = Duration.ofMillis(1500);
 
 	/**
-	 * How long an owner whose heartbeats were heard may be silent while its row stands
-	 * still, milliseconds: five heartbeats. A right guess comes before the lapse, a wrong
-	 * one costs a hand-over.
+	 * Time without heartbeats and without a change of the row after which an owner counts
+	 * as unresponsive, milliseconds: five heartbeats. A correct suspicion replaces the
+	 * owner before its row expires; a wrong one costs a hand-over.
 	 */
 	private static final long HEARTBEAT_TIMEOUT_MILLIS = 550;
 
 	/**
-	 * How long after an early take-over a former owner that does not confirm new jobs may
-	 * have started one that this process hears of, milliseconds: its lapse, and the time
-	 * by which a slow feed may be late here. Such jobs wait for all workers.
+	 * Time after an early take-over during which a former owner that does not confirm its
+	 * ownership may have started a job that this process learns of, milliseconds: expiry
+	 * of its row plus the delay of a slow job feed. Such jobs wait for all workers to be
+	 * accounted for.
 	 */
 	private static final long FORMER_OWNER_START_MILLIS = OwnerLease.EXPIRY_MILLIS + 800;
 
@@ -99,38 +100,34 @@
 	private boolean closed;
 
 	/**
-	 * Create an election.
-	 * @param ports the table, the control thread, the clocks and the log
+	 * Creates an election that does not watch the row yet.
+	 * @param dependencies the table, the control thread, the clocks and the decision log
 	 * @param self this host
-	 * @param winner told when this process has become the owner, and how
+	 * @param onTakeOver called when this process has become the owner
 	 */
-	public OwnerElection(PoolDependencies ports, HostRecord self, Consumer<TakeOver> winner) {
-		this.table = ports.table();
-		this.control = ports.control();
-		this.clock = ports.clock();
-		this.log = ports.log();
-		this.unreadable = ports.unreadable();
+	public OwnerElection(PoolDependencies dependencies, HostRecord self, Consumer<TakeOver> onTakeOver) {
+		this.table = dependencies.table();
+		this.control = dependencies.control();
+		this.clock = dependencies.clock();
+		this.log = dependencies.log();
+		this.unreadable = dependencies.unreadable();
 		this.self = self;
-		this.onTakeOver = winner;
-		this.takeOverPolicy = new TakeOverPolicy(self, ports.clock());
-		this.follower = new TableFollower(ports.table(), JobTables.OWNER, List.of(JobTables.POOL_PARTITION),
-				() -> hasRecentHeartbeat() ? ROW_POLL_INTERVAL_WITH_HEARTBEATS : ROW_POLL_INTERVAL, ports.control(),
-				this)
+		this.onTakeOver = onTakeOver;
+		this.takeOverPolicy = new TakeOverPolicy(self, dependencies.clock());
+		this.follower = new TableFollower(dependencies.table(), JobTables.OWNER, List.of(JobTables.POOL_PARTITION),
+				() -> hasRecentHeartbeat() ? ROW_POLL_INTERVAL_WITH_HEARTBEATS : ROW_POLL_INTERVAL,
+				dependencies.control(), this)
 			.latestOnly();
 	}
 
-	/**
-	 * Begin to watch.
-	 */
+	/** Starts to watch the owner's row. */
 	public void start() {
 		this.follower.start();
 		this.control.scheduleWithFixedDelay(this::checkOwnership, CHECK_INTERVAL_MILLIS, CHECK_INTERVAL_MILLIS,
 				TimeUnit.MILLISECONDS);
 	}
 
-	/**
-	 * Take nothing over any more.
-	 */
+	/** Stops watching; no take-over is attempted from now on. */
 	public void close() {
 		this.closed = true;
 		this.follower.close();
@@ -184,9 +181,9 @@
 	}
 
 	/**
-	 * Take over from an owner that asks for it because the table does not take its
-	 * writes. Without effect if the row has been written since, as that owner then goes
-	 * on.
+	 * Handles the request of an owner to be replaced because the table rejects its
+	 * writes. Has no effect if the row has been written since, as that owner then
+	 * continues.
 	 * @param rowVersion version of the row that the owner wrote last
 	 */
 	public void takeOverRequested(long rowVersion) {
@@ -198,9 +195,9 @@
 	}
 
 	/**
-	 * Take the pool over from an owner that has given it up.
-	 * @param record the row that says so
-	 * @param recordVersion its version
+	 * Handles the announcement of an owner that it has released the pool.
+	 * @param record the released row
+	 * @param recordVersion version of that row
 	 */
 	public void ownerReleased(OwnerRecord record, long recordVersion) {
 		if (recordVersion > this.version) {
@@ -209,9 +206,9 @@
 	}
 
 	/**
-	 * Note a heartbeat of an owner.
+	 * Records a heartbeat of an owner. Heartbeats of earlier epochs are ignored.
 	 * @param epoch the owner's epoch
-	 * @param rowVersion version of the row that it wrote last
+	 * @param rowVersion version of the row that the owner wrote last
 	 */
 	public void heartbeatReceived(long epoch, long rowVersion) {
 		if (epoch >= this.heartbeatEpoch) {
@@ -223,7 +220,7 @@
 		}
 	}
 
-	// The row moves on, though it has not been read lately.
+	// A heartbeat with a newer row version proves a renewal before the row is read.
 	private void recordRenewal(long epoch, long rowVersion) {
 		if (rowVersion > Math.max(this.version, this.heartbeatVersion)) {
 			this.changedNanos = this.clock.nanos();
@@ -242,8 +239,8 @@
 	}
 
 	/**
-	 * Whether the owner wants this host to stand ready.
-	 * @return {@code true} if its row names this host
+	 * Whether the owner has selected this host as a standby.
+	 * @return {@code true} if the owner's row names this host
 	 */
 	public boolean isStandby() {
 		return this.current.filter((record) -> record.standbys().contains(this.self.host())).isPresent();
@@ -279,8 +276,8 @@
 
 	private boolean isPoolVacant(long sinceChange) {
 		boolean isReleased = this.current.filter(OwnerRecord::released).isPresent();
-		boolean isInvited = this.version == this.takeOverRequestVersion;
-		return isReleased || isInvited || sinceChange > OwnerLease.EXPIRY_MILLIS || isHeartbeatOverdue();
+		boolean isTakeOverRequested = this.version == this.takeOverRequestVersion;
+		return isReleased || isTakeOverRequested || sinceChange > OwnerLease.EXPIRY_MILLIS || isHeartbeatOverdue();
 	}
 
 	private void handleVacantPool(long sinceChange) {
@@ -308,13 +305,13 @@
 	}
 
 	private boolean isHeartbeatOverdue() {
-		boolean wasHeard = this.current.filter((record) -> record.epoch() == this.heartbeatEpoch).isPresent();
-		return wasHeard
+		boolean hadHeartbeat = this.current.filter((record) -> record.epoch() == this.heartbeatEpoch).isPresent();
+		return hadHeartbeat
 				&& TimeUnit.NANOSECONDS.toMillis(this.clock.nanos() - this.heartbeatNanos) > HEARTBEAT_TIMEOUT_MILLIS;
 	}
 
-	// What is known of the row may be as old as the spacing of the feed, so it is read. A
-	// row that still is the one of the last heartbeat has stood still since then.
+	// The known row may be as old as the poll interval, so it is read again. If its
+	// version is still that of the last heartbeat, it was not renewed since.
 	private void rereadRowThenTakeOver(long sinceChange) {
 		if (!this.rereadingRow) {
 			this.rereadingRow = true;
@@ -335,10 +332,10 @@
 		}
 	}
 
-	private void takeOver(String reason, long formerOwnerMillis) {
+	private void takeOver(String reason, long formerOwnerStartMillis) {
 		OwnerRecord previous = this.current.orElse(OwnerRecord.NEVER_OWNED);
 		OwnerRecord next = previous.takenOverBy(this.self);
-		long former = previous.confirming() ? 0 : formerOwnerMillis;
+		long former = previous.confirming() ? 0 : formerOwnerStartMillis;
 		long sentNanos = this.clock.nanos();
 		long sentMillis = this.clock.millis();
 		write(next, this.version, (commit) -> {
@@ -358,8 +355,8 @@
 		});
 	}
 
-	// The row exists, so that a write on condition that it does not changes nothing. Its
-	// refusal tells that the table takes writes, and what the row is.
+	// The row exists, so this write only returns a conflict. That shows that the table
+	// accepts writes, and carries the current row.
 	private void probeTableWrites() {
 		write(this.current.orElse(OwnerRecord.NEVER_OWNED).takenOverBy(this.self), 0, (commit) -> {
 			if (commit instanceof PartitionCommit.Conflict conflict) {
@@ -369,9 +366,9 @@
 		});
 	}
 
-	private void write(OwnerRecord next, long onVersion, Consumer<PartitionCommit> done) {
+	private void write(OwnerRecord next, long expectedVersion, Consumer<PartitionCommit> onCommit) {
 		PartitionWrite write = PartitionWrite.to(JobTables.POOL_PARTITION)
-			.onVersion(JobTables.OWNER, JobTables.OWNER_KEY, onVersion)
+			.onVersion(JobTables.OWNER, JobTables.OWNER_KEY, expectedVersion)
 			.put(JobTables.OWNER, JobTables.OWNER_KEY, Json.write(next));
 		this.writeInFlight = true;
 		this.table.commit(write).whenComplete(ExecutorCallback.on(this.control, (commit, failure) -> {
@@ -382,7 +379,7 @@
 			if (!(commit instanceof PartitionCommit.Committed) && !(commit instanceof PartitionCommit.Conflict)) {
 				this.takeOverPolicy.reset();
 			}
-			done.accept(commit);
+			onCommit.accept(commit);
 		}));
 	}
 
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/OwnerLease.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/OwnerLease.java
@@ -3,37 +3,39 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * How long this owner's orders may keep a run alive. Others may take the pool over once
- * the owner's row has not changed for {@link #EXPIRY_MILLIS}; they then wait out
- * {@link #MAX_WORKER_LEASE_MILLIS} for workers that they cannot reach. Invariant: no
- * order carries a lease that ends later than that, even if this process stood still
- * meanwhile. Not thread-safe: confined to the control thread.
+ * The owner's lease on the pool, which each write of the owner's row renews, and the
+ * worker leases that it allows. Other hosts may take the pool over once the row has not
+ * changed for {@link #EXPIRY_MILLIS}; they then wait {@link #MAX_WORKER_LEASE_MILLIS} for
+ * workers that they cannot reach. Invariant: no command carries a worker lease that ends
+ * later than {@link #MAX_ORDER_VALIDITY_MILLIS} after the last renewal, even if this
+ * process was suspended in between. Not thread-safe: confined to the control thread.
  */
 final class OwnerLease {
 
-	/** How often the owner's row is written at least, milliseconds. */
+	/** Maximum interval between writes of the owner's row, milliseconds. */
 	static final long RENEWAL_INTERVAL_MILLIS = 400;
 
 	/**
-	 * How long the row may stand still before others take over, milliseconds. Five
-	 * renewals may get lost; shorter ones were not safe beside a service that answers 60
-	 * times as slowly.
+	 * Time without a change of the row after which other hosts take the pool over,
+	 * milliseconds. Up to five renewals may be lost. Shorter values caused unsafe
+	 * take-overs while the table answered 60 times as slowly as usual.
 	 */
 	static final long EXPIRY_MILLIS = 2200;
 
 	/**
-	 * The longest lease of a worker, milliseconds. Cuts of 5 to 6 seconds are lived
-	 * through; a lost worker's tasks wait this long.
+	 * Maximum duration of a worker's lease, milliseconds. Runs survive network partitions
+	 * of 5 to 6 seconds; the tasks of a lost worker are restarted only after this time.
 	 */
 	static final long MAX_WORKER_LEASE_MILLIS = 7000;
 
 	/**
-	 * How long orders of an owner that does not know of its successor may keep a run
-	 * alive after the take-over, milliseconds. It knows after its lapse at the latest.
+	 * Time after a take-over for which commands of a former owner that does not know of
+	 * its successor may keep a run alive, milliseconds. The former owner stops at the
+	 * latest when its own lease has expired.
 	 */
 	static final long MAX_ORDER_VALIDITY_MILLIS = EXPIRY_MILLIS + MAX_WORKER_LEASE_MILLIS;
 
-	/** Leases shorter than this are not worth an order, milliseconds. */
+	/** Minimum duration of a worker lease that is worth a command, milliseconds. */
 	static final long MIN_WORKER_LEASE_MILLIS = 400;
 
 	private final long epoch;
@@ -52,9 +54,9 @@
 	}
 
 	/**
-	 * Note a write of the row that took effect.
-	 * @param sentNanos when it was sent
-	 * @param sentWallMillis the time of day when it was sent
+	 * Records a successful write of the owner's row.
+	 * @param sentNanos when the write was sent, on the monotonic clock
+	 * @param sentWallMillis when the write was sent, epoch milliseconds
 	 */
 	void renewed(long sentNanos, long sentWallMillis) {
 		this.renewedNanos = sentNanos;
@@ -63,20 +65,20 @@
 	}
 
 	/**
-	 * Note that others are asked to take over, before they are: from now on until the
-	 * next write another owner may be there.
+	 * Records that other hosts are about to be asked to take the pool over. Until the
+	 * next renewal, another owner may exist.
 	 */
 	void markContested() {
 		this.contested = true;
 	}
 
 	/**
-	 * How long a lease that is given now may last.
-	 * @return milliseconds, may be negative
+	 * Duration of a worker lease that is granted now.
+	 * @return milliseconds, negative if the owner's lease has expired for too long
 	 */
 	long workerLeaseMillis() {
-		long left = MAX_ORDER_VALIDITY_MILLIS - millisSinceRenewal();
-		return Math.min(MAX_WORKER_LEASE_MILLIS, left);
+		long remaining = MAX_ORDER_VALIDITY_MILLIS - millisSinceRenewal();
+		return Math.min(MAX_WORKER_LEASE_MILLIS, remaining);
 	}
 
 	boolean canGrantLeases() {
@@ -84,22 +86,22 @@
 	}
 
 	/**
-	 * Whether jobs that come now may be started before the next renewal.
-	 * @return {@code true} if the row was written recently and nobody was asked to take
-	 * over since
+	 * Whether jobs that arrive now may be started before the next renewal.
+	 * @return {@code true} if the owner's lease has not expired and no other host was
+	 * asked to take over since the last renewal
 	 */
 	boolean canStartNewJobs() {
 		return !this.contested && millisSinceRenewal() < EXPIRY_MILLIS;
 	}
 
 	/**
-	 * Time since the last renewal, on the clock that saw more of it: the steady clock
-	 * does not count suspensions.
+	 * Time since the last renewal, by the clock that advanced further: the monotonic
+	 * clock does not count suspensions of the process or host.
 	 * @return milliseconds
 	 */
 	private long millisSinceRenewal() {
-		long steady = TimeUnit.NANOSECONDS.toMillis(this.clock.nanos() - this.renewedNanos);
-		return Math.max(steady, this.clock.millis() - this.renewedWallMillis);
+		long elapsed = TimeUnit.NANOSECONDS.toMillis(this.clock.nanos() - this.renewedNanos);
+		return Math.max(elapsed, this.clock.millis() - this.renewedWallMillis);
 	}
 
 	long epoch() {
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/OwnerRecord.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/OwnerRecord.java
@@ -5,27 +5,28 @@
 import java.util.Objects;
 
 /**
- * The row that says who owns the pool. Immutable.
+ * The owner's row: which process owns the pool, and what its successor has to know.
+ * Stored as JSON. Immutable.
  *
  * @param holder random id of the owner's process
  * @param host the owner's host
- * @param epoch grows with each change of owner; the fencing token of its orders
- * @param sequence grows with each write of the owner
- * @param released whether the owner has given the pool up
- * @param workers ids of the workers on which an owner may have started anything; an owner
- * starts nothing on a worker before this row names it here
- * @param closed tasks that may run on workers which do not answer or are leaving, by the
- * worker's id; nothing else was started there
- * @param largest the size of the largest host, beside which far smaller ones leave the
- * pool to others
- * @param standbys the hosts that stand ready to own the pool next
- * @param confirming whether the owner starts no job whose row is younger than this one,
- * until it has written this row again
+ * @param epoch incremented with each change of owner; the fencing token of its commands
+ * @param sequence incremented with each write of the owner
+ * @param released whether the owner has released the pool
+ * @param workers ids of the workers on which an owner may have started tasks; an owner
+ * starts nothing on a worker before this row names the worker here
+ * @param closed by worker id, the only tasks that may still run on workers that are
+ * unresponsive or leaving
+ * @param largest size of the largest host; hosts that are far smaller leave the pool to
+ * others
+ * @param standbys the standby hosts; the first one takes over first
+ * @param confirming whether the owner starts a job whose row is younger than this one
+ * only after it has written this row again
  */
 public record OwnerRecord(String holder, String host, long epoch, long sequence, boolean released, List<String> workers,
 		Map<String, List<String>> closed, HostSize largest, List<String> standbys, boolean confirming) {
 
-	/** No epoch is this low. */
+	/** Lower than every valid epoch. */
 	static final long NO_EPOCH = 0;
 
 	/** The record of a pool that was never owned. */
@@ -42,9 +43,9 @@
 	}
 
 	/**
-	 * The record with which a host takes the pool over.
+	 * Returns the record with which a host takes the pool over.
 	 * @param next the host
-	 * @return the record
+	 * @return the record, with the next epoch
 	 */
 	OwnerRecord takenOverBy(HostRecord next) {
 		return new OwnerRecord(next.incarnation(), next.host(), this.epoch + 1, 1, false, this.workers, this.closed,
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/PeerNotifier.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/PeerNotifier.java
@@ -7,38 +7,40 @@
 import org.monsoonrelay.model.submission.SubmissionState;
 
 /**
- * What an owner tells the other hosts, as far as messages reach them. Implementations do
- * not block.
+ * Messages of the pool's owner to the schedulers on other hosts. Delivery is best effort.
+ * Implementations do not block.
  */
 public interface PeerNotifier {
 
 	/**
-	 * The owner is at work. The others take over early if this stops while the row stands
-	 * still.
+	 * Sends a heartbeat of the owner. The other hosts take over early if heartbeats stop
+	 * while the owner's row does not change.
 	 * @param epoch the owner's epoch
 	 * @param version version of the row that the owner wrote last
 	 */
 	void sendHeartbeat(long epoch, long version);
 
 	/**
-	 * States and counts are durable now and may be told to callers.
+	 * Publishes job states and queue counts that are durable now and may be reported to
+	 * callers.
 	 * @param epoch the owner's epoch
-	 * @param states the new states, by job
-	 * @param pending the jobs that wait, if they were counted anew
+	 * @param states the new states, by job id
+	 * @param pending the number of waiting jobs, if it has changed
 	 */
 	void publishStates(long epoch, Map<String, SubmissionState> states, Optional<QueueCount> pending);
 
 	/**
-	 * The pool was given up: another host may own it at once.
-	 * @param record the row that says so
-	 * @param version its version
+	 * Announces that the pool was released, so that another host can own it at once.
+	 * @param record the released row
+	 * @param version version of that row
 	 */
 	void announceRelease(OwnerRecord record, long version);
 
 	/**
-	 * The table does not take the owner's writes: another host had better own the pool.
-	 * @param version version of the row that the owner wrote last; the owner starts no
-	 * job that it learns until it writes another
+	 * Asks the other hosts to take the pool over because the table rejects the owner's
+	 * writes. Until its next successful write, the owner starts no job that it learns of
+	 * after this.
+	 * @param version version of the row that the owner wrote last
 	 */
 	void requestTakeOver(long version);
 
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/PoolClock.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/PoolClock.java
@@ -3,11 +3,12 @@
 import java.util.function.LongSupplier;
 
 /**
- * The clocks of a host. The steady one measures spans and does not count suspensions; the
- * time of day is compared with due times and deadlines only. Immutable and thread-safe.
+ * The clocks of a process. The monotonic clock measures durations and does not count
+ * suspensions; the wall clock is only compared with due times and deadlines. Immutable
+ * and thread-safe.
  *
  * @param monotonic monotonic clock, nanoseconds
- * @param wall time of day, epoch milliseconds
+ * @param wall wall clock, epoch milliseconds
  */
 public record PoolClock(LongSupplier monotonic, LongSupplier wall) {
 
@@ -15,7 +16,7 @@
 	public static final PoolClock SYSTEM = new PoolClock(System::nanoTime, System::currentTimeMillis);
 
 	/**
-	 * The steady clock.
+	 * Returns the time of the monotonic clock.
 	 * @return nanoseconds
 	 */
 	public long nanos() {
@@ -23,7 +24,7 @@
 	}
 
 	/**
-	 * The time of day.
+	 * Returns the time of the wall clock.
 	 * @return epoch milliseconds
 	 */
 	public long millis() {
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/PoolDependencies.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/PoolDependencies.java
@@ -7,15 +7,15 @@
 import org.monsoonrelay.logic.platform.UnreadableRows;
 
 /**
- * What the owner of a pool needs from outside.
+ * The services that an owner of the pool depends on. Immutable.
  *
  * @param table the platform's table
- * @param orders orders to workers
- * @param eligibility tells which workers may run a step
- * @param control the control thread
+ * @param orders client for commands to workers
+ * @param eligibility determines which workers may run a step
+ * @param control executor of the control thread
  * @param clock the clocks
- * @param log takes decisions
- * @param unreadable takes note of rows that cannot be read
+ * @param log the decision log
+ * @param unreadable records rows that cannot be read
  */
 public record PoolDependencies(PartitionedTable table, WorkerClient orders, EligibilityClient eligibility,
 		ScheduledExecutorService control, PoolClock clock, DecisionLog log, UnreadableRows unreadable) {
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/PoolLoadReporter.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/PoolLoadReporter.java
@@ -6,13 +6,14 @@
 import org.monsoonrelay.logic.events.PoolDecision;
 
 /**
- * Tells once a second what the pool looks like: what runs, what is held, what waits, and
- * what the owner's turns take. Without it held room looked like free room to everybody
- * but the owner. Not thread-safe: confined to the control thread.
+ * Logs the load of the pool once per second: the running, held and waiting tasks, and the
+ * duration of the owner's turns. Held capacity is listed separately because only the
+ * owner can distinguish it from free capacity. Not thread-safe: confined to the control
+ * thread.
  */
 final class PoolLoadReporter {
 
-	/** Time between two lines, milliseconds. */
+	/** Interval between two log lines, milliseconds. */
 	private static final long REPORT_INTERVAL_MILLIS = 1000;
 
 	private final long epoch;
@@ -44,17 +45,17 @@
 	}
 
 	/**
-	 * Note a turn, and tell if it is time.
-	 * @param begunNanos when it began
-	 * @param endedNanos when it ended
+	 * Records a turn of the scheduling loop, and logs the load if a report is due.
+	 * @param startNanos when the turn started
+	 * @param endNanos when the turn ended
 	 */
-	void recordTurn(long begunNanos, long endedNanos) {
+	void recordTurn(long startNanos, long endNanos) {
 		this.turns++;
-		this.totalTurnNanos += endedNanos - begunNanos;
-		this.longestTurnNanos = Math.max(this.longestTurnNanos, endedNanos - begunNanos);
-		if (endedNanos - this.reportedNanos >= TimeUnit.MILLISECONDS.toNanos(REPORT_INTERVAL_MILLIS)) {
-			this.reportedNanos = endedNanos;
-			report(endedNanos);
+		this.totalTurnNanos += endNanos - startNanos;
+		this.longestTurnNanos = Math.max(this.longestTurnNanos, endNanos - startNanos);
+		if (endNanos - this.reportedNanos >= TimeUnit.MILLISECONDS.toNanos(REPORT_INTERVAL_MILLIS)) {
+			this.reportedNanos = endNanos;
+			report(endNanos);
 			this.turns = 0;
 			this.totalTurnNanos = 0;
 			this.longestTurnNanos = 0;
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/PoolOwner.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/PoolOwner.java
@@ -17,22 +17,22 @@
 import org.monsoonrelay.model.submission.SubmissionState;
 
 /**
- * One term of owning the pool: loads the jobs while it learns from the workers what runs,
- * and places what it knows of, until it gives the pool up or another process has taken
- * it. Invariants: nothing starts on a worker before its first look under this term's
- * fence; a task that an earlier owner may have started is not started again before every
- * worker that owner used has been heard of or its leases have lapsed. Not thread-safe:
- * confined to the control thread.
+ * One term of owning the pool. Loads the jobs and queries the workers for their runs at
+ * the same time, and places tasks until the pool is released or another process has taken
+ * it over. Invariants: nothing is started on a worker before the worker was polled under
+ * this term's fencing token; a task that a former owner may have started is not started
+ * again before all workers of that owner have been polled or their leases have expired.
+ * Not thread-safe: confined to the control thread.
  */
 public final class PoolOwner {
 
-	/** Time between two looks for what has lapsed or ended, milliseconds. */
+	/** Interval between checks for expired leases and ended jobs, milliseconds. */
 	private static final long CLEANUP_INTERVAL_MILLIS = 40;
 
-	/** Least time between two heartbeats to the other hosts, milliseconds. */
+	/** Minimum interval between heartbeats to other hosts, milliseconds. */
 	private static final long HEARTBEAT_INTERVAL_MILLIS = 100;
 
-	/** Least time between two invitations, milliseconds. */
+	/** Minimum interval between take-over requests, milliseconds. */
 	private static final long TAKE_OVER_REQUEST_INTERVAL_MILLIS = 250;
 
 	private final PoolDependencies dependencies;
@@ -79,64 +79,63 @@
 
 	private boolean releasing;
 
-	private boolean workersAccounted;
+	private boolean recoveryComplete;
 
 	private long cleanedUpNanos;
 
 	/**
-	 * Begin a term.
-	 * @param ports what is needed from outside
-	 * @param jobs the jobs that this process knows
-	 * @param taken how this process became the owner
-	 * @param peers the other hosts
-	 * @param over told once when the term is over, with the reason
+	 * Creates an owner that does not receive jobs yet.
+	 * @param dependencies the services that the owner depends on
+	 * @param jobTables the jobs that this process has read
+	 * @param takeOver how this process became the owner
+	 * @param peers notifies the other hosts
+	 * @param onTermEnd called once when the term has ended, with the reason
 	 */
-	public PoolOwner(PoolDependencies ports, JobTableReplica jobs, TakeOver taken, PeerNotifier peers,
-			Consumer<String> over) {
-		this(ports, jobs, taken, peers, PlacementRules.DEFAULT, over);
+	public PoolOwner(PoolDependencies dependencies, JobTableReplica jobTables, TakeOver takeOver, PeerNotifier peers,
+			Consumer<String> onTermEnd) {
+		this(dependencies, jobTables, takeOver, peers, PlacementRules.DEFAULT, onTermEnd);
 	}
 
-	PoolOwner(PoolDependencies ports, JobTableReplica jobs, TakeOver taken, PeerNotifier peers, PlacementRules rules,
-			Consumer<String> over) {
-		this.dependencies = ports;
-		this.takeOver = taken;
-		this.epoch = taken.record().epoch();
+	PoolOwner(PoolDependencies dependencies, JobTableReplica jobTables, TakeOver takeOver, PeerNotifier peers,
+			PlacementRules rules, Consumer<String> onTermEnd) {
+		this.dependencies = dependencies;
+		this.takeOver = takeOver;
+		this.epoch = takeOver.record().epoch();
 		this.peers = peers;
-		this.onTermEnd = over;
-		this.takenOverNanos = ports.clock().nanos();
+		this.onTermEnd = onTermEnd;
+		this.takenOverNanos = dependencies.clock().nanos();
 		this.takeOverRequestedNanos = this.takenOverNanos;
 		this.heartbeatSentNanos = this.takenOverNanos;
 		this.cleanedUpNanos = this.takenOverNanos - TimeUnit.MILLISECONDS.toNanos(CLEANUP_INTERVAL_MILLIS);
-		this.loop = new SchedulingLoop(ports.control(), ports.clock(), this::runTurn);
-		this.lease = new OwnerLease(this.epoch, ports.clock());
-		this.lease.renewed(taken.sentNanos(), taken.sentMillis());
+		this.loop = new SchedulingLoop(dependencies.control(), dependencies.clock(), this::runTurn);
+		this.lease = new OwnerLease(this.epoch, dependencies.clock());
+		this.lease.renewed(takeOver.sentNanos(), takeOver.sentMillis());
 		this.registry = new JobRegistry(this.epoch);
-		this.pool.recoverFrom(taken.previous());
-		this.stateWriter = new PoolStateWriter(ports.table(), ports.control(), this.lease, this.registry, this.pool,
-				ports.clock(), new StateWriterListener());
-		this.stateWriter.start(taken);
-		this.jobTables = jobs;
-		this.eligibility = new EligibilityTracker(ports.eligibility(), ports.control(), ports.clock(), ports.log(),
-				this::eligibilityAnswered);
-		this.runs = new RunController(ports.orders(), this.lease, this.pool, this.registry, this.jobTables::isLoaded,
-				this.eligibility, ports.control(), ports.clock(), ports.log(), new PoolRunListener());
-		this.placer = new TaskPlacer(this.registry, this.pool, this.runs, this.eligibility, this.lease, ports.clock(),
-				rules);
-		this.loadReporter = new PoolLoadReporter(this.epoch, this.pool, this.registry, this.eligibility, ports.log(),
-				this.takenOverNanos);
+		this.pool.recoverFrom(takeOver.previous());
+		this.stateWriter = new PoolStateWriter(dependencies.table(), dependencies.control(), this.lease, this.registry,
+				this.pool, dependencies.clock(), new StateWriterListener());
+		this.stateWriter.start(takeOver);
+		this.jobTables = jobTables;
+		this.eligibility = new EligibilityTracker(dependencies.eligibility(), dependencies.control(),
+				dependencies.clock(), dependencies.log(), this::eligibilityAnswered);
+		this.runs = new RunController(dependencies.orders(), this.lease, this.pool, this.registry,
+				this.jobTables::isLoaded, this.eligibility, dependencies.control(), dependencies.clock(),
+				dependencies.log(), new PoolRunListener());
+		this.placer = new TaskPlacer(this.registry, this.pool, this.runs, this.eligibility, this.lease,
+				dependencies.clock(), rules);
+		this.loadReporter = new PoolLoadReporter(this.epoch, this.pool, this.registry, this.eligibility,
+				dependencies.log(), this.takenOverNanos);
 	}
 
-	/**
-	 * Take in the jobs and begin.
-	 */
+	/** Starts the scheduling loop and receives the jobs. */
 	public void start() {
 		this.loop.start();
 		this.jobTables.attach(this.jobTableListener);
 	}
 
 	/**
-	 * Take in the configuration in force.
-	 * @param configuration the configuration
+	 * Applies a configuration. No task is placed before the first one.
+	 * @param configuration the configuration in force
 	 */
 	public void configure(QueueConfiguration configuration) {
 		this.configured = true;
@@ -144,16 +143,16 @@
 	}
 
 	/**
-	 * Take in a job that a gateway has stored, sooner than the feed brings it.
+	 * Adds a job that a gateway has stored, before the job feed delivers it.
 	 * @param submission the job
-	 * @param version the version of its row
+	 * @param version version of the job's row
 	 */
 	public void jobAccepted(Submission submission, long version) {
 		this.jobTables.jobAccepted(submission, version);
 	}
 
 	/**
-	 * Take in a cancellation that a gateway has stored, sooner than the feed brings it.
+	 * Applies a cancellation that a gateway has stored, before the job feed delivers it.
 	 * @param job the job's id
 	 */
 	public void jobCancelled(String job) {
@@ -161,8 +160,8 @@
 	}
 
 	/**
-	 * Take in the list of workers.
-	 * @param listed all workers that the list names
+	 * Updates the workers of the pool.
+	 * @param listed all workers in the current list of workers
 	 */
 	public void updateWorkers(Collection<WorkerInfo> listed) {
 		List<PoolWorker> added = this.pool.update(listed);
@@ -171,8 +170,8 @@
 	}
 
 	/**
-	 * Name the hosts of this system that can ask for eligibility.
-	 * @param available the hosts, those for short calls first
+	 * Sets the hosts of this system that can send eligibility requests.
+	 * @param available the hosts, those for short requests first
 	 */
 	public void updateHosts(List<String> available) {
 		this.eligibility.updateHosts(available);
@@ -180,9 +179,9 @@
 	}
 
 	/**
-	 * Choose the hosts that stand ready to own the pool next. To be called with each
-	 * change and from time to time.
-	 * @param registered all hosts of this system
+	 * Selects the standby hosts. To be called at regular intervals and when the
+	 * registered hosts have changed.
+	 * @param registered all registered hosts of this system
 	 * @param self this host
 	 */
 	public void updateRegisteredHosts(Collection<StandbySelector.Candidate> registered, HostRecord self) {
@@ -191,7 +190,7 @@
 	}
 
 	/**
-	 * Use a host again that has started anew.
+	 * Resumes eligibility requests through a host that has been restarted.
 	 * @param host the host
 	 */
 	public void hostRestarted(String host) {
@@ -200,17 +199,16 @@
 	}
 
 	/**
-	 * Give the pool up, so that another process need not wait for a lapse. Work goes on
-	 * until the write that says so is sent, which waits for the one in flight: beside a
-	 * table that takes 300 ms for a write that saves as much.
+	 * Releases the pool so that another process can take it over without waiting for an
+	 * expiry. Work continues until the releasing write is sent, which waits for the write
+	 * in flight. With a table that takes 300 ms per write, this allows 300 ms more of
+	 * work.
 	 */
 	public void release() {
 		this.stateWriter.release();
 	}
 
-	/**
-	 * End the term at once.
-	 */
+	/** Ends the term at once, without releasing the pool. */
 	public void close() {
 		this.closed = true;
 		this.loop.close();
@@ -225,18 +223,18 @@
 	}
 
 	private void runTurn() {
-		long begun = this.dependencies.clock().nanos();
+		long startNanos = this.dependencies.clock().nanos();
 		sendHeartbeatIfDue();
 		if (this.jobTables.hasReplayed() && !this.releasing) {
-			cleanUp(begun);
-			checkWorkersAccounted();
+			cleanUp(startNanos);
+			checkRecovery();
 			if (this.configured) {
 				this.placer.placeAll();
 				this.eligibility.sendRequests();
 			}
 		}
 		this.stateWriter.flush();
-		this.loadReporter.recordTurn(begun, this.dependencies.clock().nanos());
+		this.loadReporter.recordTurn(startNanos, this.dependencies.clock().nanos());
 	}
 
 	private void cleanUp(long now) {
@@ -256,12 +254,12 @@
 		}
 	}
 
-	private void checkWorkersAccounted() {
+	private void checkRecovery() {
 		if (ageMillis() > OwnerLease.MAX_ORDER_VALIDITY_MILLIS / WorkerLease.MIN_CLOCK_RATE) {
 			this.pool.abandonRecovery();
 		}
-		if (!this.workersAccounted && this.pool.isRecoveryComplete()) {
-			this.workersAccounted = true;
+		if (!this.recoveryComplete && this.pool.isRecoveryComplete()) {
+			this.recoveryComplete = true;
 			this.placer.markRecovered();
 			this.dependencies.log()
 				.write(new PoolDecision.WorkersAccounted(this.epoch, this.takeOver.previous().workers().size(),
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/PoolStateWriter.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/PoolStateWriter.java
@@ -22,40 +22,43 @@
 import org.monsoonrelay.model.submission.SubmittedJob;
 
 /**
- * Makes progress durable and keeps the owner's row. Invariants: every write names the
- * version of the owner's row that this owner wrote last, so that nothing is written once
- * another owner has taken over; one write is in flight at a time; a write without an
- * answer is repeated unchanged until it is known what became of it. Not thread-safe:
- * confined to the control thread.
+ * Writes the progress of jobs and renews the owner's row in the same transaction.
+ * Invariants: every write is conditional on the version of the owner's row that this
+ * owner wrote last, so that nothing is written after another owner has taken over; at
+ * most one write is in flight; a write whose outcome is unknown is retried unchanged
+ * until the outcome is known. Not thread-safe: confined to the control thread.
  */
 final class PoolStateWriter {
 
-	/** Most jobs in a write; a transaction takes 100 entries. */
+	/** Maximum number of jobs per write; a transaction accepts 100 entries. */
 	private static final int MAX_JOBS_PER_WRITE = 80;
 
-	/** Most bytes of progress in a write; a transaction takes a megabyte. */
+	/**
+	 * Maximum size of the progress per write, bytes; a transaction accepts one megabyte.
+	 */
 	private static final int MAX_PROGRESS_BYTES_PER_WRITE = 500_000;
 
 	/**
-	 * Least time between the beginnings of two writes, milliseconds: ends of the same
-	 * moment share one.
+	 * Minimum interval between the start of two writes, milliseconds. Lets tasks that end
+	 * at about the same time share a write.
 	 */
 	private static final long MIN_WRITE_INTERVAL_MILLIS = 20;
 
 	/**
-	 * A write without effect for this long after it was first sent is a sign that another
-	 * host had better own the pool, milliseconds. A slow table takes up to 900 ms.
+	 * Time after which a write without effect shows that another host should own the
+	 * pool, milliseconds. A slow table takes up to 900 ms.
 	 */
 	private static final long WRITE_STALL_MILLIS = 1000;
 
 	/**
-	 * A write that takes as long makes new jobs wait for none, milliseconds: it takes 12
-	 * ms, less than it takes to find out who may run a job, and 560 ms while the table is
-	 * sixty times as slow.
+	 * Duration of a write from which on new jobs are started without waiting for a
+	 * confirming write, milliseconds. A write usually takes 12 ms, less than the
+	 * eligibility requests of a job, but 560 ms if the table answers sixty times as
+	 * slowly.
 	 */
 	private static final long SLOW_WRITE_MILLIS = 60;
 
-	/** Pause before a write without effect is repeated, milliseconds. */
+	/** Delay before a write without effect is retried, milliseconds. */
 	private static final long RETRY_DELAY_MILLIS = 60;
 
 	private final PartitionedTable table;
@@ -110,40 +113,38 @@
 	}
 
 	/**
-	 * Begin with the row that made this process the owner.
-	 * @param taken how that came
+	 * Initializes this writer with the row that made this process the owner.
+	 * @param takeOver how this process became the owner
 	 */
-	void start(TakeOver taken) {
-		this.record = taken.record();
-		this.version = taken.version();
+	void start(TakeOver takeOver) {
+		this.record = takeOver.record();
+		this.version = takeOver.version();
 		this.standbys = this.record.standbys();
 		this.largest = this.record.largest();
 		this.confirming = this.record.confirming();
 		this.lastSentNanos = this.clock.nanos();
-		this.lastWriteMillis = TimeUnit.NANOSECONDS.toMillis(this.lastSentNanos - taken.sentNanos());
+		this.lastWriteMillis = TimeUnit.NANOSECONDS.toMillis(this.lastSentNanos - takeOver.sentNanos());
 	}
 
 	/**
-	 * Count the jobs that wait from now on; before all jobs are loaded the count of the
-	 * earlier owner stays.
+	 * Includes the number of waiting jobs in writes from now on. Before all jobs are
+	 * loaded, the count of the former owner remains in the table.
 	 */
 	void startCounting() {
 		this.counting = true;
 	}
 
 	/**
-	 * Name the hosts that stand ready, in the next write of the owner's row.
-	 * @param hosts their names
-	 * @param largestHost the size of the largest host
+	 * Sets the standbys for the next write of the owner's row.
+	 * @param hosts names of the standby hosts
+	 * @param largestHost size of the largest host
 	 */
 	void setStandbys(List<String> hosts, HostSize largestHost) {
 		this.standbys = List.copyOf(hosts);
 		this.largest = largestHost;
 	}
 
-	/**
-	 * Write if something waits or the row is due.
-	 */
+	/** Writes if there are changes to store or the row has to be renewed. */
 	void flush() {
 		if (this.closed) {
 			return;
@@ -164,7 +165,7 @@
 	}
 
 	/**
-	 * Give the pool up with the next write. The owner goes on until that is sent.
+	 * Releases the pool with the next write; the owner continues until that is sent.
 	 */
 	void release() {
 		this.releasing = true;
@@ -178,8 +179,8 @@
 	}
 
 	/**
-	 * Whether this process is known to have been the owner after a job was stored, or
-	 * need not be: what it wrote last may say that it starts younger jobs as well.
+	 * Whether this process is known to have been the owner after a job was stored. Not
+	 * required if the last written row states that the owner starts younger jobs as well.
 	 * @param jobVersion version of the job's row
 	 * @return {@code false} if the job has to wait for the next write
 	 */
@@ -188,7 +189,7 @@
 	}
 
 	/**
-	 * Version of the owner's row as this owner wrote it last.
+	 * Returns the version of the owner's row that this owner wrote last.
 	 * @return the version
 	 */
 	long version() {
@@ -260,8 +261,8 @@
 		for (TableRow row : current) {
 			boolean isOwnRow = row.table().equals(JobTables.OWNER) && row.key().equals(JobTables.OWNER_KEY);
 			if (isOwnRow && row.value().equals(Json.write(batch.record()))) {
-				// An earlier try took effect; when is not known, so that the term is not
-				// extended.
+				// An earlier attempt took effect. The time is not known, so the lease is
+				// not renewed.
 				this.version = row.version();
 				apply(batch);
 				return;
@@ -312,39 +313,37 @@
 
 	}
 
-	/**
-	 * Told of what became of writes, on the control thread.
-	 */
+	/** Receives the outcome of writes on the control thread. */
 	interface Listener {
 
 		/**
-		 * A write has taken effect.
-		 * @param states the states that it made durable, by job
-		 * @param pending the jobs that wait, if the write changed their count
+		 * Called when a write has taken effect.
+		 * @param states the states that it made durable, by job id
+		 * @param pending the number of waiting jobs, if the write changed it
 		 */
 		void writeDurable(Map<String, SubmissionState> states, Optional<QueueCount> pending);
 
 		/**
-		 * The table does not take this host's writes; it may take another's.
+		 * Called when the table does not accept writes of this host. It may accept those
+		 * of other hosts.
 		 */
 		void writesRejected();
 
 		/**
-		 * The write that gives the pool up is about to be sent: nothing may be ordered
-		 * from now on.
+		 * Called before the releasing write is sent. No command may be sent from then on.
 		 */
 		void releaseStarting();
 
 		/**
-		 * The pool was given up.
-		 * @param record the row that says so
-		 * @param version its version
+		 * Called when the pool was released.
+		 * @param record the released row
+		 * @param version version of that row
 		 */
 		void released(OwnerRecord record, long version);
 
 		/**
-		 * Another process owns the pool.
-		 * @param reason how that is known
+		 * Called when another process owns the pool.
+		 * @param reason how this was detected
 		 */
 		void ownershipLost(String reason);
 
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/SchedulingLoop.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/SchedulingLoop.java
@@ -5,26 +5,26 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Times the owner's turns: one soon after it was asked for, one at regular intervals
- * without that, and after each a pause in proportion to what it took. Invariant: however
- * often a turn is asked for, one is queued. Not thread-safe: confined to the control
- * thread.
+ * Runs the turns of the owner, each a pass of its scheduling loop. A turn runs soon after
+ * it was requested, or at a regular interval without a request, and is followed by a
+ * pause in proportion to its duration. Invariant: at most one requested turn is queued.
+ * Not thread-safe: confined to the control thread.
  */
 final class SchedulingLoop {
 
-	/** Longest time between two turns, milliseconds. */
+	/** Maximum time between two turns, milliseconds. */
 	static final long MAX_TURN_INTERVAL_MILLIS = 50;
 
 	/**
-	 * After a turn the control thread does other things for this many times as long:
-	 * placing takes a tenth of its time at most, however much waits, and heartbeats,
-	 * acceptance and renewals are not held up by a burst.
+	 * Duration of the pause after a turn, as a multiple of the turn's duration. Placing
+	 * takes at most a tenth of the control thread's time, however many tasks wait, so
+	 * that a burst does not delay heartbeats, job acceptance and renewals.
 	 */
 	static final long PAUSE_FACTOR = 9;
 
 	/**
-	 * Longest such pause, milliseconds, in case the process stood still within a turn; a
-	 * tenth of the aim of the most urgent jobs.
+	 * Maximum pause, milliseconds, in case the process was suspended during a turn. A
+	 * tenth of the latency target of the most urgent jobs.
 	 */
 	static final long MAX_PAUSE_MILLIS = 25;
 
@@ -43,10 +43,10 @@
 	private long nextTurnNanos;
 
 	/**
-	 * Create a timer that does nothing yet.
-	 * @param control the control thread
-	 * @param clock the time
-	 * @param turn what to do in a turn
+	 * Creates a loop that is not started.
+	 * @param control executor of the control thread
+	 * @param clock the clocks
+	 * @param turn the work of a turn
 	 */
 	SchedulingLoop(ScheduledExecutorService control, PoolClock clock, Runnable turn) {
 		this.control = control;
@@ -55,34 +55,28 @@
 		this.nextTurnNanos = clock.nanos();
 	}
 
-	/**
-	 * Begin the turns at regular intervals.
-	 */
+	/** Starts the turns at a regular interval. */
 	void start() {
 		this.timer = this.control.scheduleWithFixedDelay(this::run, MAX_TURN_INTERVAL_MILLIS, MAX_TURN_INTERVAL_MILLIS,
 				TimeUnit.MILLISECONDS);
 	}
 
-	/**
-	 * Ask for a turn as soon as the pause after the last one is over.
-	 */
+	/** Requests a turn as soon as the pause after the last one is over. */
 	void requestTurn() {
 		if (this.turnQueued || this.closed) {
 			return;
 		}
 		this.turnQueued = true;
-		long wait = this.nextTurnNanos - this.clock.nanos();
-		if (wait > 0) {
-			this.control.schedule(this::run, wait, TimeUnit.NANOSECONDS);
+		long delayNanos = this.nextTurnNanos - this.clock.nanos();
+		if (delayNanos > 0) {
+			this.control.schedule(this::run, delayNanos, TimeUnit.NANOSECONDS);
 		}
 		else {
 			this.control.execute(this::run);
 		}
 	}
 
-	/**
-	 * End the turns; one that is queued does nothing.
-	 */
+	/** Stops the loop. A queued turn does nothing. */
 	void close() {
 		this.closed = true;
 		if (this.timer != null) {
@@ -95,11 +89,11 @@
 		if (this.closed) {
 			return;
 		}
-		long begun = this.clock.nanos();
+		long startNanos = this.clock.nanos();
 		this.turn.run();
-		long ended = this.clock.nanos();
-		this.nextTurnNanos = ended
-				+ Math.min(TimeUnit.MILLISECONDS.toNanos(MAX_PAUSE_MILLIS), PAUSE_FACTOR * (ended - begun));
+		long endNanos = this.clock.nanos();
+		this.nextTurnNanos = endNanos
+				+ Math.min(TimeUnit.MILLISECONDS.toNanos(MAX_PAUSE_MILLIS), PAUSE_FACTOR * (endNanos - startNanos));
 	}
 
 }
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/StandbySelector.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/StandbySelector.java
@@ -8,30 +8,30 @@
 import java.util.Set;
 
 /**
- * Chooses the hosts that stand ready to own the pool and therefore follow all jobs, and
- * their order. One that does so reads every job and all progress, which adds up over tens
- * of hosts. Stateless.
+ * Selects the standby hosts. A standby follows all jobs so that it can take the pool over
+ * at once. This costs it a read of every job and of all progress, which would add up over
+ * tens of hosts, so their number is limited. Stateless.
  */
 public final class StandbySelector {
 
 	/**
-	 * How many hosts stand ready: the loss of a failure domain and of a third of the
-	 * hosts, or planned restarts one after the other, leave some. All of a cell of nine
-	 * hosts, for which it costs little.
+	 * Maximum number of standbys. Enough to have some left after the loss of a failure
+	 * domain and of a third of the hosts, or during a sequence of planned restarts. In a
+	 * cell of nine hosts, all others are standbys, which costs little.
 	 */
 	static final int MAX_STANDBYS = 8;
 
 	/**
-	 * With so many large hosts ready, small ones do not stand ready: one more than the
-	 * failure domain or the host that may be lost beside the owner. What a small host has
-	 * to read to follow the jobs of hundreds of workers fills its link, and callers'
-	 * submissions wait behind it.
+	 * Number of ready large hosts from which on small hosts are not selected: one more
+	 * than the failure domain or host that may be lost together with the owner. Following
+	 * the jobs of hundreds of workers saturates the link of a small host and delays the
+	 * submissions of callers behind it.
 	 */
 	static final int MIN_LARGE_STANDBYS = 3;
 
 	/**
-	 * How long a host has to be up to be ready, milliseconds: it begins to follow the
-	 * jobs 1.5 s after its start.
+	 * Time that a host has to be up before it counts as ready, milliseconds: it starts to
+	 * follow the jobs 1.5 s after its start.
 	 */
 	public static final long MIN_UPTIME_MILLIS = 3000;
 
@@ -39,47 +39,48 @@
 	}
 
 	/**
-	 * Choose the hosts: those that are ready, of them the largest, of them the one that
-	 * was started last, as planned restarts come to it last; in different failure domains
-	 * as far as there are any, first in others than the owner's. None that is stopping,
-	 * and no small one beside enough large ones.
-	 * @param hosts all hosts that are registered
+	 * Selects the standbys. Ready hosts come first, then larger ones, then those that
+	 * were started last, because planned restarts reach these last. Hosts in different
+	 * failure domains are preferred, beginning with domains other than the owner's. Hosts
+	 * that are stopping are never selected, and small hosts only if there are too few
+	 * large ones.
+	 * @param hosts all registered hosts
 	 * @param owner the host that owns the pool
-	 * @return names of the chosen hosts, the one that is to go first at the front
+	 * @return names of the selected hosts; the first one takes over first
 	 */
 	static List<String> select(Collection<Candidate> hosts, HostRecord owner) {
-		List<Candidate> left = new ArrayList<>(
+		List<Candidate> remaining = new ArrayList<>(
 				hosts.stream().filter((candidate) -> !candidate.host().host().equals(owner.host())).toList());
-		left.removeIf((candidate) -> candidate.host().stopping());
+		remaining.removeIf((candidate) -> candidate.host().stopping());
 		HostSize largest = largest(hosts, owner);
-		if (left.stream()
+		if (remaining.stream()
 			.filter((candidate) -> candidate.isReady() && candidate.isLargeComparedTo(largest))
 			.count() >= MIN_LARGE_STANDBYS) {
-			left.removeIf((candidate) -> !candidate.isLargeComparedTo(largest));
+			remaining.removeIf((candidate) -> !candidate.isLargeComparedTo(largest));
 		}
-		left.sort(Comparator.comparing(Candidate::isReady)
+		remaining.sort(Comparator.comparing(Candidate::isReady)
 			.thenComparingDouble((candidate) -> candidate.host().processors())
 			.thenComparingLong(Candidate::startOrder)
 			.reversed());
-		List<String> chosen = new ArrayList<>();
-		Set<String> used = new HashSet<>(Set.of(owner.failureDomain()));
-		while (chosen.size() < MAX_STANDBYS && !left.isEmpty()) {
-			Candidate next = left.stream()
-				.filter((candidate) -> !used.contains(candidate.host().failureDomain()))
+		List<String> selected = new ArrayList<>();
+		Set<String> usedDomains = new HashSet<>(Set.of(owner.failureDomain()));
+		while (selected.size() < MAX_STANDBYS && !remaining.isEmpty()) {
+			Candidate next = remaining.stream()
+				.filter((candidate) -> !usedDomains.contains(candidate.host().failureDomain()))
 				.findFirst()
-				.orElse(left.get(0));
-			left.remove(next);
-			used.add(next.host().failureDomain());
-			chosen.add(next.host().host());
+				.orElse(remaining.get(0));
+			remaining.remove(next);
+			usedDomains.add(next.host().failureDomain());
+			selected.add(next.host().host());
 		}
-		return chosen;
+		return selected;
 	}
 
 	/**
-	 * The size of the largest host that is not stopping.
-	 * @param hosts all hosts that are registered
+	 * Returns the size of the largest host that is not stopping.
+	 * @param hosts all registered hosts
 	 * @param owner the host that owns the pool
-	 * @return its size
+	 * @return size of the largest host
 	 */
 	static HostSize largest(Collection<Candidate> hosts, HostRecord owner) {
 		List<HostSize> sizes = new ArrayList<>(List.of(owner.size()));
@@ -92,11 +93,11 @@
 	}
 
 	/**
-	 * A host that may be chosen. Immutable.
+	 * A host that may be selected. Immutable.
 	 *
 	 * @param host the host
 	 * @param startOrder greater for a process that registered later
-	 * @param isReady whether its process has been up long enough
+	 * @param isReady whether its process has been up for {@link #MIN_UPTIME_MILLIS}
 	 */
 	public record Candidate(HostRecord host, long startOrder, boolean isReady) {
 
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/TakeOver.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/TakeOver.java
@@ -1,16 +1,16 @@
 package org.monsoonrelay.logic.pool;
 
 /**
- * How a process came to own the pool. Immutable.
+ * How a process became the owner of the pool. Immutable.
  *
- * @param record the row that says so
- * @param version the row's version; what an earlier owner knew is older, unless it did
- * not know of this yet
- * @param sentNanos when the row was sent, on the steady clock
- * @param sentMillis when it was sent, by the time of day
- * @param previous the earlier owner's row
- * @param formerOwnerStartMillis how long from now on the earlier owner may still take
- * itself for the owner and start jobs that it learns, milliseconds
+ * @param record the row that made it the owner
+ * @param version version of that row; a former owner knew of rows with lower versions
+ * only, unless it was not aware of the take-over yet
+ * @param sentNanos when the row was sent, on the monotonic clock
+ * @param sentMillis when the row was sent, epoch milliseconds
+ * @param previous the row of the former owner
+ * @param formerOwnerStartMillis time from the take-over on during which the former owner
+ * may still start jobs that it learns of, milliseconds
  */
 public record TakeOver(OwnerRecord record, long version, long sentNanos, long sentMillis, OwnerRecord previous,
 		long formerOwnerStartMillis) {
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/ThrottledPeerNotifier.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/ThrottledPeerNotifier.java
@@ -10,18 +10,19 @@
 import org.monsoonrelay.model.submission.SubmissionState;
 
 /**
- * Tells the other hosts of durable states at most once in a while: what becomes durable
- * soon after other news is told with what follows. Invariants: the first news after a
- * pause goes out at once; none waits longer than {@link #MIN_INTERVAL_MILLIS}; of a job
- * the last state is told, of the counts the last. All else goes straight on. Not
- * thread-safe: confined to the control thread.
+ * Limits the rate at which durable states are published to other hosts: updates that
+ * follow soon after a message are collected and sent together. Invariants: an update
+ * after a pause is sent at once; no update is delayed longer than
+ * {@link #MIN_INTERVAL_MILLIS}; of each job, and of the counts, only the latest value is
+ * sent. Heartbeats and take-over requests are forwarded without delay. Not thread-safe:
+ * confined to the control thread.
  */
 public final class ThrottledPeerNotifier implements PeerNotifier {
 
 	/**
-	 * Least time between two messages to a host, milliseconds. An owner with much to do
-	 * writes every 20 ms and tells 34 hosts of each write; twice that is a sixth of the
-	 * aim of the most urgent jobs.
+	 * Minimum interval between two messages to a host, milliseconds. A busy owner writes
+	 * every 20 ms and would notify 34 hosts of each write; twice that interval is a sixth
+	 * of the latency target of the most urgent jobs.
 	 */
 	static final long MIN_INTERVAL_MILLIS = 40;
 
@@ -49,18 +50,18 @@
 	}
 
 	@Override
-	public void sendHeartbeat(long ofEpoch, long version) {
-		this.peers.sendHeartbeat(ofEpoch, version);
+	public void sendHeartbeat(long newEpoch, long version) {
+		this.peers.sendHeartbeat(newEpoch, version);
 	}
 
 	@Override
-	public void publishStates(long ofEpoch, Map<String, SubmissionState> told, Optional<QueueCount> counted) {
-		if (this.flushPending && ofEpoch != this.epoch) {
+	public void publishStates(long newEpoch, Map<String, SubmissionState> newStates, Optional<QueueCount> newCount) {
+		if (this.flushPending && newEpoch != this.epoch) {
 			flush();
 		}
-		this.epoch = ofEpoch;
-		this.pendingStates.putAll(told);
-		this.pendingCount = counted.or(() -> this.pendingCount);
+		this.epoch = newEpoch;
+		this.pendingStates.putAll(newStates);
+		this.pendingCount = newCount.or(() -> this.pendingCount);
 		if (this.flushPending) {
 			return;
 		}
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/package-info.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Running submitted jobs on a pool of workers: one owner at a time decides what starts
- * where, from memory, and makes ends durable before workers forget them.
+ * Runs submitted jobs on a pool of workers. A single owner at a time decides from its
+ * memory which task starts on which worker, and stores the results durably before the
+ * workers discard them.
  */
 package org.monsoonrelay.logic.pool;
