--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/CollectedLogs.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/CollectedLogs.java
@@ -11,9 +11,10 @@
 import org.monsoonrelay.logic.platform.Json;
 
 /**
- * What several processes write, as a collector of lines hands it on: each line behind a
- * time and the name of its process. The later a process began, the further its time of
- * day lags, so that times tell nothing of the order. Not thread-safe.
+ * The decision logs of several processes in the format of a log collector: each line
+ * follows a timestamp and the name of its process. The wall clock of each process lags
+ * further behind than that of the processes that started before it, so that the order of
+ * events cannot be taken from the timestamps. Not thread-safe.
  */
 final class CollectedLogs {
 
@@ -30,9 +31,10 @@
 	}
 
 	/**
-	 * The story of an id, read from the process that began last on.
+	 * Returns what the logs contain about an id, beginning with the process that started
+	 * last.
 	 * @param id the id
-	 * @return the story
+	 * @return the collected log lines
 	 */
 	JobTimeline story(String id) {
 		JobTimeline story = new JobTimeline(id);
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/HostSizeTests.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/HostSizeTests.java
@@ -19,27 +19,27 @@
 	}
 
 	@Test
-	void allHostsAreLargeWhereNothingIsTold() {
+	void allHostsAreLargeIfNoSizeIsReported() {
 		assertThat(HostSize.UNKNOWN.isLargeComparedTo(HostSize.largest(List.of(HostSize.UNKNOWN, HostSize.UNKNOWN))))
 			.isTrue();
 	}
 
 	@Test
-	void theLargestIsTheOneThatLacksLeastOfBoth() {
+	void theLargestHostIsTheBestBalancedOne() {
 		HostSize manyProcessors = new HostSize(4, 10);
-		HostSize wideLink = new HostSize(0.2, 1000);
-		HostSize both = new HostSize(3, 800);
-		assertThat(HostSize.largest(List.of(manyProcessors, both, wideLink))).isEqualTo(both);
+		HostSize muchBandwidth = new HostSize(0.2, 1000);
+		HostSize balanced = new HostSize(3, 800);
+		assertThat(HostSize.largest(List.of(manyProcessors, balanced, muchBandwidth))).isEqualTo(balanced);
 	}
 
 	@Test
-	void theLargestIsLargeBesideAllOthers() {
+	void theLargestHostIsLargeComparedToAllOthers() {
 		List<HostSize> sizes = List.of(new HostSize(4, 10), new HostSize(0.2, 1000), new HostSize(1, 100));
 		assertThat(sizes).anyMatch((size) -> size.isLargeComparedTo(HostSize.largest(sizes)));
 	}
 
 	@Test
-	void aRowThatDoesNotNameTheLargestIsRead() throws Exception {
+	void aRowWithoutTheLargestSizeIsReadable() throws Exception {
 		OwnerRecord read = Json.readLeniently("{\"holder\":\"a\",\"host\":\"h\",\"epoch\":3,\"workers\":[]}",
 				OwnerRecord.class);
 		assertThat(read.largest()).isEqualTo(HostSize.UNKNOWN);
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/InMemoryTable.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/InMemoryTable.java
@@ -17,8 +17,9 @@
 import org.monsoonrelay.logic.platform.TableRow;
 
 /**
- * A table in memory on virtual time, with faults: down, answers lost after the write, and
- * writes that take effect late. Rows never lose what was acknowledged. Not thread-safe.
+ * An in-memory table on virtual time that injects faults: outages, responses that are
+ * lost after the write, and writes that take effect late. Acknowledged writes are never
+ * lost. Not thread-safe.
  */
 final class InMemoryTable {
 
@@ -56,13 +57,13 @@
 		this.down = isDown;
 	}
 
-	void setDropsAnswers(boolean loses) {
-		this.dropsAnswers = loses;
+	void setDropsAnswers(boolean drops) {
+		this.dropsAnswers = drops;
 	}
 
 	/**
-	 * From now on writes get no answer and take effect this much later.
-	 * @param millis how much later, 0 for at once
+	 * Delays the effect of all writes from now on and does not answer them.
+	 * @param millis the delay, milliseconds; 0 for none
 	 */
 	void setWriteDelay(long millis) {
 		this.writeDelayMillis = millis;
@@ -73,7 +74,7 @@
 	}
 
 	/**
-	 * Reads of a partition get no answer; its changes are told all the same.
+	 * Leaves reads of a partition unanswered. Its changes are still delivered.
 	 * @param partition the partition, empty for none
 	 */
 	void blockReads(String partition) {
@@ -85,8 +86,8 @@
 	}
 
 	/**
-	 * A process's way to the table, which can be cut.
-	 * @return the way
+	 * Creates the client of one process. It can be disconnected from the table.
+	 * @return the client
 	 */
 	Client client() {
 		return new Client();
@@ -127,7 +128,7 @@
 		return new PartitionCommit.Committed(this.version);
 	}
 
-	/** One process's way to the table. */
+	/** The client of one process. */
 	final class Client implements PartitionedTable {
 
 		private boolean disconnected;
@@ -136,22 +137,23 @@
 
 		private long ownWriteDelayMillis;
 
-		void setDisconnected(boolean isCut) {
-			this.disconnected = isCut;
+		void setDisconnected(boolean isDisconnected) {
+			this.disconnected = isDisconnected;
 		}
 
 		/**
-		 * The table answers this process that it does nothing for it.
-		 * @param isTurnedAway whether it does so
+		 * Sets whether the table rejects the writes of this process without applying
+		 * them.
+		 * @param rejects whether writes are rejected
 		 */
-		void setRejectsRequests(boolean isTurnedAway) {
-			this.rejectsRequests = isTurnedAway;
+		void setRejectsRequests(boolean rejects) {
+			this.rejectsRequests = rejects;
 		}
 
 		/**
-		 * From now on this process's writes get no answer and take effect this much
-		 * later.
-		 * @param millis how much later, 0 for at once
+		 * Delays the effect of this process's writes from now on and does not answer
+		 * them.
+		 * @param millis the delay, milliseconds; 0 for none
 		 */
 		void setWriteDelay(long millis) {
 			this.ownWriteDelayMillis = millis;
@@ -190,8 +192,8 @@
 		@Override
 		public CompletableFuture<TablePage> read(String table, String partition, String from, int limit) {
 			CompletableFuture<TablePage> answer = new CompletableFuture<>();
-			boolean isSilent = !partition.isEmpty() && partition.equals(InMemoryTable.this.blockedPartition);
-			if (isUnreachable() || isSilent) {
+			boolean isBlocked = !partition.isEmpty() && partition.equals(InMemoryTable.this.blockedPartition);
+			if (isUnreachable() || isBlocked) {
 				after(TIMEOUT_MILLIS, () -> fail(answer));
 				return answer;
 			}
@@ -220,7 +222,7 @@
 			return answer;
 		}
 
-		private void poll(CompletableFuture<TableChanges> answer, String table, long since, long leftMillis) {
+		private void poll(CompletableFuture<TableChanges> answer, String table, long since, long remainingMillis) {
 			if (isUnreachable()) {
 				after(TIMEOUT_MILLIS, () -> fail(answer));
 				return;
@@ -233,11 +235,11 @@
 			List<TableRow> changed = InMemoryTable.this.history.stream()
 				.filter((row) -> row.table().equals(table) && row.version() > since)
 				.toList();
-			if (!changed.isEmpty() || leftMillis <= 0) {
+			if (!changed.isEmpty() || remainingMillis <= 0) {
 				answer.complete(new TableChanges(changed, InMemoryTable.this.version, false, false));
 				return;
 			}
-			after(POLL_MILLIS, () -> poll(answer, table, since, leftMillis - POLL_MILLIS));
+			after(POLL_MILLIS, () -> poll(answer, table, since, remainingMillis - POLL_MILLIS));
 		}
 
 		private void after(long millis, Runnable action) {
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/JobDiagnosisTests.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/JobDiagnosisTests.java
@@ -13,11 +13,12 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * From the id of a failed request to its cause, by the lines that a cell wrote.
+ * Finds the cause of a failure from a job's or task's id, using only the log lines that a
+ * simulated cell wrote.
  */
 class JobDiagnosisTests {
 
-	private static final long LEASE_OVER_MILLIS = 10_000;
+	private static final long LEASE_EXPIRED_MILLIS = 10_000;
 
 	private final SimulatedCell cell = new SimulatedCell().withWorkers(3);
 
@@ -34,7 +35,7 @@
 	}
 
 	@Test
-	void aLateJobWaitedForRoom() {
+	void aLateJobWaitedForCapacity() {
 		this.cell.withEligibility().addScheduler();
 		this.cell.time.runFor(500);
 		for (int i = 0; i < 30; i++) {
@@ -56,12 +57,12 @@
 	}
 
 	@Nested
-	class OfATaskThatWasLost {
+	class ATaskThatWasLost {
 
 		private static final TaskKey TASK = new TaskKey("a", 0, 0, 0);
 
 		@Test
-		void withItsWorker() {
+		void wasLostWithItsWorker() {
 			SimulatedCell cell = JobDiagnosisTests.this.cell.withRunMillis(2000);
 			cell.addScheduler();
 			cell.time.runFor(500);
@@ -69,7 +70,7 @@
 			cell.time.runFor(300);
 			String holder = cell.workers.workerRunning(TASK);
 			cell.workers.crash(holder);
-			cell.time.runFor(LEASE_OVER_MILLIS + 4000);
+			cell.time.runFor(LEASE_EXPIRED_MILLIS + 4000);
 			JobTimeline story = cell.logs.story("a");
 			assertThat(events(story)).containsExactly("JobLearnt", "TaskPlaced", "WorkerSilent", "WorkerLost",
 					"TaskLost", "TaskEnded", "JobEnded");
@@ -81,13 +82,13 @@
 		}
 
 		@Test
-		void withItsOwnerAndIsToldByTheNextOne() {
+		void wasLostWithItsOwnerAndIsLoggedByTheNextOwner() {
 			SimulatedCell cell = JobDiagnosisTests.this.cell.withRunMillis(6000);
 			SimulatedCell.Scheduler first = cell.startOwnerAndStandby();
 			cell.submit("a", SimulatedCell.step(1, false));
 			cell.time.runFor(300);
 			first.kill();
-			cell.time.runFor(LEASE_OVER_MILLIS);
+			cell.time.runFor(LEASE_EXPIRED_MILLIS);
 			JobTimeline story = cell.logs.story("a");
 			assertThat(events(story)).containsSubsequence("JobLearnt", "TaskPlaced", "OwnershipTaken", "TaskEnded",
 					"JobEnded");
@@ -101,14 +102,14 @@
 		}
 
 		@Test
-		void withItsOwnerAndItsWorkerAndRunsAgainUnderTheNextOne() {
+		void wasLostWithItsOwnerAndWorkerAndRunsAgainUnderTheNextOwner() {
 			SimulatedCell cell = JobDiagnosisTests.this.cell.withRunMillis(3000);
 			SimulatedCell.Scheduler first = cell.startOwnerAndStandby();
 			cell.submit("a", SimulatedCell.step(1, false));
 			cell.time.runFor(300);
 			cell.workers.crash(cell.workers.workerRunning(TASK));
 			first.kill();
-			cell.time.runFor(3 * LEASE_OVER_MILLIS);
+			cell.time.runFor(3 * LEASE_EXPIRED_MILLIS);
 			JobTimeline story = cell.logs.story("a");
 			assertThat(story.lines()).filteredOn((line) -> line.event().equals("TaskPlaced"))
 				.extracting(LogLine::source)
@@ -121,12 +122,15 @@
 
 	}
 
-	/** Findings under docs/incidents, as far as a cell shows their lines. */
+	/**
+	 * Incidents that are described under docs/incidents, as far as a simulated cell reproduces
+	 * their log lines.
+	 */
 	@Nested
-	class OfFindings {
+	class Incidents {
 
 		@Test
-		void aPartitionThatIsSilentToANewOwner() {
+		void aPartitionWasUnresponsiveToANewOwner() {
 			SimulatedCell cell = JobDiagnosisTests.this.cell.withRunMillis(3000);
 			SimulatedCell.Scheduler first = cell.startOwnerAndStandby();
 			cell.submit("silent", SimulatedCell.step(1, false), SimulatedCell.step(1, false, 0));
@@ -140,7 +144,7 @@
 		}
 
 		@Test
-		void startsThatWentBehindACut() {
+		void startsFailedDuringANetworkPartition() {
 			SimulatedCell cell = JobDiagnosisTests.this.cell;
 			SimulatedCell.Scheduler owner = cell.addScheduler();
 			cell.time.runFor(1000);
@@ -155,7 +159,7 @@
 		}
 
 		@Test
-		void aGangThatFindsNoRoom() {
+		void aGangFoundNoFreeCapacity() {
 			SimulatedCell cell = JobDiagnosisTests.this.cell.withRunMillis(60_000).withEligibility();
 			cell.addScheduler();
 			cell.time.runFor(1000);
@@ -168,7 +172,7 @@
 		}
 
 		@Test
-		void attemptsThatTwoOwnersSaw() {
+		void twoOwnersSawTheAttempts() {
 			SimulatedCell cell = new SimulatedCell();
 			cell.workers.add("w0", SimulatedCell.CAPACITY).setFailing(true);
 			cell.workers.add("w1", SimulatedCell.CAPACITY).setFailing(true);
@@ -181,7 +185,7 @@
 			first.kill();
 			cell.table.setDown(false);
 			cell.addScheduler();
-			cell.time.runFor(LEASE_OVER_MILLIS);
+			cell.time.runFor(LEASE_EXPIRED_MILLIS);
 			JobTimeline story = cell.logs.story("a");
 			assertThat(causes(story)).contains("failed: 1 tasks failed, most often a.0.0.0: attempt 1 on ")
 				.contains("s1first took the pool over as epoch 2");
@@ -190,7 +194,7 @@
 		}
 
 		@Test
-		void aCellWhoseHostsAllStartAnew() {
+		void allHostsOfACellWereRestarted() {
 			SimulatedCell cell = JobDiagnosisTests.this.cell.withRunMillis(1000);
 			cell.startOwnerAndStandby();
 			cell.submit("a", SimulatedCell.step(3, false));
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/OwnerElectionTests.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/OwnerElectionTests.java
@@ -17,7 +17,7 @@
 
 	private static final double SMALL = 0.36;
 
-	private static final long STEP_MILLIS = 10;
+	private static final long TIME_STEP_MILLIS = 10;
 
 	private static final long OUTAGE_MILLIS = 5200;
 
@@ -29,16 +29,18 @@
 		return added;
 	}
 
-	/** Time goes on, and the host must not own the pool meanwhile. */
-	private void runWithoutOwner(SimulatedCell.Scheduler host, long millis) {
-		for (long passed = 0; passed < millis; passed += STEP_MILLIS) {
-			this.cell.time.runFor(STEP_MILLIS);
+	/**
+	 * Advances the time and asserts that the host does not own the pool meanwhile.
+	 */
+	private void assertDoesNotOwnThePoolFor(SimulatedCell.Scheduler host, long millis) {
+		for (long passed = 0; passed < millis; passed += TIME_STEP_MILLIS) {
+			this.cell.time.runFor(TIME_STEP_MILLIS);
 			assertThat(host.owner).as("after %d ms", passed).isEmpty();
 		}
 	}
 
 	@Nested
-	class OfASmallHost {
+	class ASmallHost {
 
 		private final SimulatedCell.Scheduler first = add(LARGE);
 
@@ -49,7 +51,7 @@
 		@ParameterizedTest
 		@ValueSource(longs = { 0, 50, 100, 150, 200, 250, 300, 350, 400, 450, 500, 550, 600, 650, 700, 750, 800, 850,
 				900, 950, 1000, 1050, 1100, 1150 })
-		void leavesThePoolToALargeOneWheneverAnOutageOfTheTableEnds(long offset) {
+		void leavesThePoolToALargeHostAfterATableOutage(long offset) {
 			this.first.registerStandbys(this.large);
 			outage(offset);
 			assertThat(this.large.owner).isPresent();
@@ -57,7 +59,7 @@
 
 		@ParameterizedTest
 		@ValueSource(longs = { 0, 150, 300, 450, 600, 750, 900, 1050 })
-		void leavesItToALargeOneAlsoIfBothStandReady(long offset) {
+		void leavesThePoolToALargeHostIfBothAreStandbys(long offset) {
 			this.first.registerStandbys(this.small, this.large);
 			outage(offset);
 			assertThat(this.large.owner).isPresent();
@@ -70,12 +72,12 @@
 			this.first.kill();
 			OwnerElectionTests.this.cell.time.runFor(OUTAGE_MILLIS / 2 + offset);
 			OwnerElectionTests.this.cell.table.setDown(false);
-			runWithoutOwner(this.small, 4000);
+			assertDoesNotOwnThePoolFor(this.small, 4000);
 		}
 
 		@ParameterizedTest
 		@ValueSource(longs = { 0, 150, 300, 450, 600, 750, 900, 1050 })
-		void leavesItToALargeOneIfTheOutageBeganOnceThePoolWasFree(long offset) {
+		void leavesThePoolToALargeHostIfTheOutageBeganAfterTheLossOfTheOwner(long offset) {
 			this.first.registerStandbys(this.large);
 			OwnerElectionTests.this.cell.time.runFor(2000);
 			this.large.tableClient.setDisconnected(true);
@@ -84,15 +86,15 @@
 			OwnerElectionTests.this.cell.table.setDown(true);
 			OwnerElectionTests.this.cell.time.runFor(OUTAGE_MILLIS);
 			OwnerElectionTests.this.cell.table.setDown(false);
-			runWithoutOwner(this.small, offset);
+			assertDoesNotOwnThePoolFor(this.small, offset);
 			this.large.tableClient.setDisconnected(false);
-			runWithoutOwner(this.small, 4000);
+			assertDoesNotOwnThePoolFor(this.small, 4000);
 			assertThat(this.large.owner).isPresent();
 		}
 
 		@ParameterizedTest
 		@ValueSource(longs = { 0, 100, 400, 700, 1000, 1500 })
-		void leavesItToALargeOneAnewOnceTheTableTakesWritesAgain(long offset) {
+		void waitsAgainForALargeHostOnceTheTableAcceptsWrites(long offset) {
 			this.first.registerStandbys(this.large);
 			OwnerElectionTests.this.cell.time.runFor(2000);
 			this.large.tableClient.setRejectsRequests(true);
@@ -100,14 +102,14 @@
 			this.first.kill();
 			OwnerElectionTests.this.cell.time.runFor(OUTAGE_MILLIS);
 			this.small.tableClient.setRejectsRequests(false);
-			runWithoutOwner(this.small, offset);
+			assertDoesNotOwnThePoolFor(this.small, offset);
 			this.large.tableClient.setRejectsRequests(false);
-			runWithoutOwner(this.small, 4000);
+			assertDoesNotOwnThePoolFor(this.small, 4000);
 			assertThat(this.large.owner).isPresent();
 		}
 
 		@Test
-		void leavesItToALargeOneThatIsSlowToFindOutThatTheTableIsBack() {
+		void leavesThePoolToALargeHostThatIsSlowToDetectTheEndOfAnOutage() {
 			this.first.registerStandbys(this.large, this.small);
 			OwnerElectionTests.this.cell.time.runFor(2000);
 			this.large.tableClient.setDisconnected(true);
@@ -115,12 +117,12 @@
 			this.first.kill();
 			OwnerElectionTests.this.cell.time.runFor(500);
 			this.large.tableClient.setDisconnected(false);
-			runWithoutOwner(this.small, 4000);
+			assertDoesNotOwnThePoolFor(this.small, 4000);
 			assertThat(this.large.owner).isPresent();
 		}
 
 		@Test
-		void takesThePoolOverOnceAllLargeOnesAreLost() {
+		void takesThePoolOverIfAllLargeHostsAreLost() {
 			this.first.registerStandbys(this.large);
 			OwnerElectionTests.this.cell.time.runFor(2000);
 			this.first.kill();
@@ -132,9 +134,9 @@
 	}
 
 	@Nested
-	class OfASmallHostThatChecksAtOtherTimesThanTheLargeOnes {
+	class ASmallHostWithShiftedChecks {
 
-		private static final long HALF_CHECK_MILLIS = 50;
+		private static final long HALF_CHECK_INTERVAL_MILLIS = 50;
 
 		private final SimulatedCell.Scheduler first = add(LARGE);
 
@@ -144,26 +146,26 @@
 
 		@BeforeEach
 		void addSmall() {
-			OwnerElectionTests.this.cell.time.runFor(HALF_CHECK_MILLIS);
+			OwnerElectionTests.this.cell.time.runFor(HALF_CHECK_INTERVAL_MILLIS);
 			this.small = add(SMALL);
 			this.first.registerStandbys(this.large);
 			OwnerElectionTests.this.cell.time.runFor(2000);
 		}
 
-		static LongStream ends() {
-			return LongStream.rangeClosed(0, 100).map((i) -> i * HALF_CHECK_MILLIS);
+		static LongStream outageEnds() {
+			return LongStream.rangeClosed(0, 100).map((i) -> i * HALF_CHECK_INTERVAL_MILLIS);
 		}
 
 		@ParameterizedTest
-		@MethodSource("ends")
-		void leavesThePoolToALargeOneWheneverTheTableTakesWritesAgain(long end) {
+		@MethodSource("outageEnds")
+		void leavesThePoolToALargeHostOnceTheTableAcceptsWrites(long end) {
 			this.first.kill();
 			this.large.tableClient.setRejectsRequests(true);
 			this.small.tableClient.setRejectsRequests(true);
 			OwnerElectionTests.this.cell.time.runFor(1000 + end);
 			this.large.tableClient.setRejectsRequests(false);
 			this.small.tableClient.setRejectsRequests(false);
-			runWithoutOwner(this.small, 1000);
+			assertDoesNotOwnThePoolFor(this.small, 1000);
 			assertThat(this.large.owner).isPresent();
 		}
 
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/PoolLoadReporterTests.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/PoolLoadReporterTests.java
@@ -20,7 +20,7 @@
 	}
 
 	@Test
-	void tellsOnceASecondWhatRunsAndWhatWaits() {
+	void reportsRunningAndWaitingTasksOncePerSecond() {
 		this.cell.withRunMillis(10_000).withWorkers(1).addScheduler();
 		this.cell.time.runFor(SimulatedCell.STANDBY_DELAY_MILLIS);
 		this.cell.submit("0000000000000001", SimulatedCell.step(6, false));
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/PoolOwnerTests.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/PoolOwnerTests.java
@@ -11,10 +11,12 @@
 
 class PoolOwnerTests {
 
-	/** Until a write that is due is sent and answered; the feed takes longer. */
+	/**
+	 * Time until a due write is answered, milliseconds. The job feed takes longer.
+	 */
 	private static final long WRITE_MILLIS = 40;
 
-	private static final long LEASE_OVER_MILLIS = 10_000;
+	private static final long LEASE_EXPIRED_MILLIS = 10_000;
 
 	private final SimulatedCell cell = new SimulatedCell().withWorkers(3);
 
@@ -22,7 +24,7 @@
 	class WhenNothingFails {
 
 		@Test
-		void anOwnerThatFindsNothingWaitingSaysSo() {
+		void aNewOwnerStoresThatNoJobIsWaiting() {
 			SimulatedCell.Scheduler first = PoolOwnerTests.this.cell.addScheduler();
 			PoolOwnerTests.this.cell.submit("a", SimulatedCell.step(16, true));
 			PoolOwnerTests.this.cell.time.runFor(1200);
@@ -35,7 +37,7 @@
 		}
 
 		@Test
-		void stepsRunInTheirOrderAndTheJobCompletes() {
+		void stepsRunInOrderAndTheJobCompletes() {
 			PoolOwnerTests.this.cell.addScheduler();
 			PoolOwnerTests.this.cell.submit("a", SimulatedCell.step(3, false), SimulatedCell.step(2, true, 0));
 			PoolOwnerTests.this.cell.time.runFor(450);
@@ -45,7 +47,7 @@
 		}
 
 		@Test
-		void moreWorkThanRoomWaitsAndOverfillsNoWorker() {
+		void workBeyondTheCapacityWaitsAndOverloadsNoWorker() {
 			PoolOwnerTests.this.cell.addScheduler();
 			for (int i = 0; i < 10; i++) {
 				PoolOwnerTests.this.cell.submit("job" + i, SimulatedCell.step(5, i % 2 == 0));
@@ -57,7 +59,7 @@
 		}
 
 		@Test
-		void whatBecomesDurableIsToldWithoutAFeed() {
+		void durableStatesArePublishedToGateways() {
 			PoolOwnerTests.this.cell.addScheduler();
 			PoolOwnerTests.this.cell.submit("a", SimulatedCell.step(3, false));
 			PoolOwnerTests.this.cell.submit("wide", SimulatedCell.step(13, true));
@@ -67,7 +69,7 @@
 		}
 
 		@Test
-		void aJobIsTakenFromAGatewayBeforeTheFeedBringsIt() {
+		void aJobFromAGatewayStartsBeforeTheFeedDeliversIt() {
 			SimulatedCell.Scheduler owner = PoolOwnerTests.this.cell.addScheduler();
 			PoolOwnerTests.this.cell.time.runFor(500);
 			Submission job = PoolOwnerTests.this.cell.submit("a", SimulatedCell.step(3, false));
@@ -82,7 +84,7 @@
 		}
 
 		@Test
-		void aCancellationIsTakenFromAGatewayBeforeTheFeedBringsIt() {
+		void aCancellationFromAGatewayIsAppliedBeforeTheFeedDeliversIt() {
 			PoolOwnerTests.this.cell.withRunMillis(5000);
 			SimulatedCell.Scheduler owner = PoolOwnerTests.this.cell.addScheduler();
 			PoolOwnerTests.this.cell.submit("a", SimulatedCell.step(3, false));
@@ -93,7 +95,7 @@
 		}
 
 		@Test
-		void eligibilityIsAskedBeforeAStart() {
+		void eligibilityIsRequestedBeforeAStart() {
 			PoolOwnerTests.this.cell.withEligibility();
 			PoolOwnerTests.this.cell.addScheduler();
 			PoolOwnerTests.this.cell.submit("a", SimulatedCell.step(4, true));
@@ -104,10 +106,10 @@
 	}
 
 	@Nested
-	class WhenTheTableMisbehaves {
+	class WhenTheTableFails {
 
 		@Test
-		void lostAnswersLoseNoEndAndRepeatNone() {
+		void lostResponsesNeitherLoseNorRepeatEnds() {
 			PoolOwnerTests.this.cell.addScheduler();
 			PoolOwnerTests.this.cell.time.runFor(500);
 			PoolOwnerTests.this.cell.submit("a", SimulatedCell.step(6, false));
@@ -120,21 +122,21 @@
 		}
 
 		@Test
-		void writesThatTakeEffectLateLeaveOneOwner() {
+		void delayedWritesLeaveOneOwner() {
 			PoolOwnerTests.this.cell.startOwnerAndStandby();
 			PoolOwnerTests.this.cell.submit("a", SimulatedCell.step(6, false));
 			PoolOwnerTests.this.cell.time.runFor(100);
 			PoolOwnerTests.this.cell.table.setWriteDelay(2500);
 			PoolOwnerTests.this.cell.time.runFor(5000);
 			PoolOwnerTests.this.cell.table.setWriteDelay(0);
-			PoolOwnerTests.this.cell.time.runFor(LEASE_OVER_MILLIS);
+			PoolOwnerTests.this.cell.time.runFor(LEASE_EXPIRED_MILLIS);
 			PoolOwnerTests.this.cell.assertCompleted("a");
 			assertThat(PoolOwnerTests.this.cell.schedulers.stream().filter((each) -> each.owner.isPresent()))
 				.hasSize(1);
 		}
 
 		@Test
-		void startsGoOnWhileTheTableIsDown() {
+		void tasksStartWhileTheTableIsDown() {
 			PoolOwnerTests.this.cell.addScheduler();
 			PoolOwnerTests.this.cell.submit("a", SimulatedCell.step(24, false));
 			PoolOwnerTests.this.cell.time.runFor(300);
@@ -147,7 +149,7 @@
 		}
 
 		@Test
-		void aLostHistoryOfChangesLosesNoJob() {
+		void aLostChangeHistoryLosesNoJob() {
 			PoolOwnerTests.this.cell.addScheduler();
 			PoolOwnerTests.this.cell.time.runFor(500);
 			PoolOwnerTests.this.cell.table.loseChangeHistory();
@@ -159,7 +161,7 @@
 	}
 
 	@Nested
-	class WhenStartsStayUnanswered {
+	class WhenStartsAreUnanswered {
 
 		@Test
 		void theirJobsStillCountAsWaiting() {
@@ -176,10 +178,10 @@
 	}
 
 	@Nested
-	class WhenAJobCannotBeDone {
+	class WhenAJobDoesNotComplete {
 
 		@Test
-		void aTaskThatFailsAsOftenAsAllowedFailsTheJob() {
+		void aTaskThatExhaustsItsAttemptsFailsTheJob() {
 			SimulatedCell cell = new SimulatedCell();
 			cell.workers.add("bad", SimulatedCell.CAPACITY).setFailing(true);
 			cell.addScheduler();
@@ -190,7 +192,7 @@
 		}
 
 		@Test
-		void aCancelledJobsTasksAreStopped() {
+		void theTasksOfACancelledJobAreStopped() {
 			PoolOwnerTests.this.cell.addScheduler();
 			PoolOwnerTests.this.cell.submit("a", SimulatedCell.step(6, false));
 			PoolOwnerTests.this.cell.time.runFor(200);
@@ -202,7 +204,7 @@
 		}
 
 		@Test
-		void aCancellationAfterTheOwnerWasLostIsObeyed() {
+		void aCancellationAfterTheLossOfTheOwnerIsApplied() {
 			SimulatedCell.Scheduler first = PoolOwnerTests.this.cell.startOwnerAndStandby();
 			PoolOwnerTests.this.cell.submit("a", SimulatedCell.step(6, false), SimulatedCell.step(6, false, 0));
 			PoolOwnerTests.this.cell.time.runFor(200);
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/SchedulingLoopTests.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/SchedulingLoopTests.java
@@ -11,12 +11,11 @@
 
 	private final VirtualTime time = new VirtualTime();
 
-	private final PoolClock clock = new PoolClock(() -> this.time.clock().nanos() + this.workedNanos,
-			this.time::millis);
+	private final PoolClock clock = new PoolClock(() -> this.time.clock().nanos() + this.workNanos, this.time::millis);
 
-	private final SchedulingLoop timer = new SchedulingLoop(this.time, this.clock, this::turn);
+	private final SchedulingLoop loop = new SchedulingLoop(this.time, this.clock, this::runTurn);
 
-	private long workedNanos;
+	private long workNanos;
 
 	private long turnNanos;
 
@@ -24,25 +23,25 @@
 
 	@BeforeEach
 	void start() {
-		this.timer.start();
+		this.loop.start();
 	}
 
-	private void turn() {
+	private void runTurn() {
 		this.turns++;
-		this.workedNanos += this.turnNanos;
+		this.workNanos += this.turnNanos;
 	}
 
 	@Test
-	void turnsComeAtIntervalsWithoutBeingAskedFor() {
+	void turnsRunAtIntervalsWithoutARequest() {
 		this.time.runFor(10 * SchedulingLoop.MAX_TURN_INTERVAL_MILLIS);
 		assertThat(this.turns).isEqualTo(10);
 	}
 
 	@Test
-	void oneIsQueuedHoweverOftenItIsAskedFor() {
-		this.timer.requestTurn();
-		this.timer.requestTurn();
-		this.timer.requestTurn();
+	void repeatedRequestsQueueASingleTurn() {
+		this.loop.requestTurn();
+		this.loop.requestTurn();
+		this.loop.requestTurn();
 		this.time.runFor(1);
 		assertThat(this.turns).isEqualTo(1);
 	}
@@ -50,9 +49,9 @@
 	@Test
 	void aTurnIsFollowedByAPauseNineTimesAsLong() {
 		this.turnNanos = TimeUnit.MILLISECONDS.toNanos(2);
-		this.timer.requestTurn();
+		this.loop.requestTurn();
 		this.time.runFor(1);
-		this.timer.requestTurn();
+		this.loop.requestTurn();
 		this.time.runFor(16);
 		assertThat(this.turns).isEqualTo(1);
 		this.time.runFor(1);
@@ -60,21 +59,21 @@
 	}
 
 	@Test
-	void noPauseIsLongerThanTheLongest() {
+	void noPauseExceedsTheMaximum() {
 		this.turnNanos = TimeUnit.SECONDS.toNanos(3);
-		this.timer.requestTurn();
+		this.loop.requestTurn();
 		this.time.runFor(1);
 		this.turnNanos = 0;
-		this.timer.requestTurn();
+		this.loop.requestTurn();
 		this.time.runFor(SchedulingLoop.MAX_PAUSE_MILLIS);
 		assertThat(this.turns).isEqualTo(2);
 	}
 
 	@Test
-	void aTurnThatIsQueuedDoesNothingOnceTheTimerIsClosed() {
-		this.timer.requestTurn();
-		this.timer.close();
-		this.timer.requestTurn();
+	void aQueuedTurnDoesNothingOnceTheLoopIsClosed() {
+		this.loop.requestTurn();
+		this.loop.close();
+		this.loop.requestTurn();
 		this.time.runFor(10 * SchedulingLoop.MAX_TURN_INTERVAL_MILLIS);
 		assertThat(this.turns).isZero();
 	}
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/SimulatedCell.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/SimulatedCell.java
@@ -34,7 +34,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * A cell of schedulers around one table and some workers, on virtual time. Not
+ * A cell on virtual time: schedulers that share one table and some workers. Not
  * thread-safe.
  */
 final class SimulatedCell {
@@ -45,7 +45,10 @@
 
 	static final long RUN_MILLIS = 500;
 
-	/** A scheduler that owns nothing reads the jobs this long after its start. */
+	/**
+	 * Time after its start at which a scheduler that owns nothing begins to read the
+	 * jobs, milliseconds.
+	 */
 	static final long STANDBY_DELAY_MILLIS = 1500;
 
 	final VirtualTime time = new VirtualTime();
@@ -58,14 +61,14 @@
 
 	final List<Decision> decisions = new ArrayList<>();
 
-	/** What each process has written. */
+	/** The decision logs of all processes. */
 	final CollectedLogs logs = new CollectedLogs();
 
 	final Map<Metric, List<Long>> measures = new EnumMap<>(Metric.class);
 
 	final UnreadableRows unreadable = new UnreadableRows(this.decisions::add);
 
-	/** What a gateway hears from owners. */
+	/** The job states that a gateway knows from owners. */
 	final JobStates gateway = new JobStates(this.unreadable);
 
 	private final InMemoryTable.Client callerTable = this.table.client();
@@ -95,12 +98,12 @@
 		return addScheduler("first");
 	}
 
-	Scheduler addScheduler(String life) {
-		return addScheduler(life, 1);
+	Scheduler addScheduler(String incarnation) {
+		return addScheduler(incarnation, 1);
 	}
 
-	Scheduler addScheduler(String life, double processors) {
-		Scheduler scheduler = new Scheduler("s" + this.schedulers.size(), life, processors);
+	Scheduler addScheduler(String incarnation, double processors) {
+		Scheduler scheduler = new Scheduler("s" + this.schedulers.size(), incarnation, processors);
 		this.schedulers.add(scheduler);
 		scheduler.election.start();
 		return scheduler;
@@ -110,7 +113,7 @@
 		return this.schedulers.stream()
 			.filter((scheduler) -> scheduler.owner.isPresent())
 			.findFirst()
-			.orElseThrow(() -> new AssertionError("nobody owns the pool"));
+			.orElseThrow(() -> new AssertionError("no scheduler owns the pool"));
 	}
 
 	QueuePolicy policy(int attempts) {
@@ -142,7 +145,7 @@
 	}
 
 	/**
-	 * Begin with an owner and a scheduler that stands ready.
+	 * Starts a scheduler that becomes the owner, and then a standby.
 	 * @return the owner
 	 */
 	Scheduler startOwnerAndStandby() {
@@ -174,7 +177,7 @@
 		return value.isEmpty() ? SubmissionState.QUEUED : Json.read(value, JobProgress.class).state();
 	}
 
-	/** Takes what one process decides and measures. */
+	/** Records the decisions and measurements of one process. */
 	private final class Log implements DecisionLog {
 
 		private final String process;
@@ -196,7 +199,7 @@
 
 	}
 
-	/** One scheduler process. */
+	/** The scheduler process of one host. */
 	final class Scheduler implements PeerNotifier {
 
 		final InMemoryTable.Client tableClient = SimulatedCell.this.table.client();
@@ -215,19 +218,19 @@
 
 		private boolean muted;
 
-		Scheduler(String name, String life, double processors) {
+		Scheduler(String name, String incarnation, double processors) {
 			EligibilityClient all = (host, step, ids, timeout) -> CompletableFuture
 				.completedFuture(ids.stream().collect(Collectors.toMap((id) -> id, (id) -> "ticket")));
 			this.dependencies = new PoolDependencies(this.tableClient, this.workerClient, all, SimulatedCell.this.time,
-					SimulatedCell.this.time.clock(), new Log(name + life), SimulatedCell.this.unreadable);
+					SimulatedCell.this.time.clock(), new Log(name + incarnation), SimulatedCell.this.unreadable);
 			this.jobs = new JobTableReplica(this.tableClient, SimulatedCell.this.time, SimulatedCell.this.unreadable);
 			SimulatedCell.this.time.schedule(this.jobs::start, STANDBY_DELAY_MILLIS, TimeUnit.MILLISECONDS);
-			this.self = new HostRecord(name, "domain", "a:1", name + life, processors, false);
+			this.self = new HostRecord(name, "domain", "a:1", name + incarnation, processors, false);
 			this.election = new OwnerElection(this.dependencies, this.self, this::startOwner);
 		}
 
-		private void startOwner(TakeOver taken) {
-			PoolOwner next = new PoolOwner(this.dependencies, this.jobs, taken, this,
+		private void startOwner(TakeOver takeOver) {
+			PoolOwner next = new PoolOwner(this.dependencies, this.jobs, takeOver, this,
 					(reason) -> this.owner = Optional.empty());
 			this.owner = Optional.of(next);
 			next.configure(new QueueConfiguration(1, List.of(new QueueRoute("h", "/", 3000, policy(3))),
@@ -258,13 +261,13 @@
 		}
 
 		private List<Scheduler> others() {
-			boolean isHeard = !this.muted;
-			return SimulatedCell.this.schedulers.stream().filter((other) -> isHeard && other != this).toList();
+			boolean isConnected = !this.muted;
+			return SimulatedCell.this.schedulers.stream().filter((other) -> isConnected && other != this).toList();
 		}
 
 		/**
-		 * Tell this owner of the other hosts, which all are ready.
-		 * @param others the hosts, the one that was started last at the end
+		 * Registers other hosts, all of them ready, with this owner.
+		 * @param others the hosts, in the order in which they were started
 		 */
 		void registerStandbys(Scheduler... others) {
 			List<StandbySelector.Candidate> candidates = new ArrayList<>();
@@ -274,19 +277,19 @@
 			this.owner.orElseThrow().updateRegisteredHosts(candidates, this.self);
 		}
 
-		/** From now on the others hear nothing of this process. */
+		/** Suppresses all messages of this process to other schedulers from now on. */
 		void muteToPeers() {
 			this.muted = true;
 		}
 
-		private void refreshWorkers(PoolOwner present) {
-			if (this.owner.filter((current) -> current == present).isPresent()) {
-				present.updateWorkers(SimulatedCell.this.workers.listedWorkers());
-				SimulatedCell.this.time.schedule(() -> refreshWorkers(present), 250, TimeUnit.MILLISECONDS);
+		private void refreshWorkers(PoolOwner target) {
+			if (this.owner.filter((current) -> current == target).isPresent()) {
+				target.updateWorkers(SimulatedCell.this.workers.listedWorkers());
+				SimulatedCell.this.time.schedule(() -> refreshWorkers(target), 250, TimeUnit.MILLISECONDS);
 			}
 		}
 
-		/** The process is killed: nothing of it goes on. */
+		/** Ends the process without releasing the pool. */
 		void kill() {
 			this.election.close();
 			this.jobs.close();
@@ -294,7 +297,7 @@
 			this.owner = Optional.empty();
 		}
 
-		/** The process is told to stop. */
+		/** Asks the process to stop, which releases the pool. */
 		void stop() {
 			this.election.close();
 			this.owner.ifPresent(PoolOwner::release);
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/TakeOverLoadingTests.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/TakeOverLoadingTests.java
@@ -10,12 +10,12 @@
 
 class TakeOverLoadingTests {
 
-	private static final long LEASE_OVER_MILLIS = 10_000;
+	private static final long LEASE_EXPIRED_MILLIS = 10_000;
 
 	private final SimulatedCell cell = new SimulatedCell().withWorkers(3);
 
 	@Test
-	void aPartitionOfJobsThatIsSilentHoldsUpItsOwnJobsAlone() {
+	void anUnresponsivePartitionDelaysItsOwnJobsOnly() {
 		this.cell.withRunMillis(3000);
 		SimulatedCell.Scheduler first = this.cell.startOwnerAndStandby();
 		this.cell.submit("silent", SimulatedCell.step(1, false));
@@ -35,7 +35,7 @@
 	}
 
 	@Test
-	void jobsThatWaitAreCountedAllTheWhile() {
+	void waitingJobsAreCountedDuringATakeOver() {
 		SimulatedCell.Scheduler first = this.cell.startOwnerAndStandby();
 		for (int i = 0; i < 8; i++) {
 			this.cell.submit("job" + i, SimulatedCell.step(12, true));
@@ -55,7 +55,7 @@
 	}
 
 	@Test
-	void failuresThatWereNotDurableCountInWhateverOrderTheyAreSeen() {
+	void failuresThatWereNotDurableCountInAnyOrder() {
 		SimulatedCell cell = new SimulatedCell();
 		cell.workers.add("w0", SimulatedCell.CAPACITY).setFailing(true);
 		cell.workers.add("w1", SimulatedCell.CAPACITY).setFailing(true);
@@ -71,13 +71,13 @@
 		next.workerClient.disconnect("w0");
 		cell.time.runFor(4000);
 		next.workerClient.reconnect("w0");
-		cell.time.runFor(LEASE_OVER_MILLIS);
+		cell.time.runFor(LEASE_EXPIRED_MILLIS);
 		assertThat(cell.durableState("a")).isEqualTo(SubmissionState.FAILED);
 		assertThat(cell.workers.startCount(new TaskKey("a", 0, 0, 0))).isEqualTo(2);
 	}
 
 	@Test
-	void aSuccessorThatStoodReadyReadsNoPartition() {
+	void aStandbyThatTakesOverReadsNoPartition() {
 		SimulatedCell.Scheduler first = this.cell.startOwnerAndStandby();
 		this.cell.time.runFor(SimulatedCell.STANDBY_DELAY_MILLIS);
 		this.cell.withRunMillis(2000);
@@ -91,7 +91,7 @@
 	}
 
 	@Test
-	void anOwnerThatStartsBesideASlowTableBeginsOnceItHasLoaded() {
+	void anOwnerWithASlowTableStartsWorkOnceTheJobsAreLoaded() {
 		this.cell.submit("a", SimulatedCell.step(3, false));
 		this.cell.table.setReadLatency(700);
 		this.cell.addScheduler();
@@ -100,7 +100,7 @@
 	}
 
 	@Test
-	void anOwnerOfARestartedCellSettlesAndAccountsForItsWorkers() {
+	void anOwnerOfARestartedCellLoadsAllJobsAndAccountsForItsWorkers() {
 		SimulatedCell.Scheduler first = this.cell.startOwnerAndStandby();
 		for (int i = 0; i < 40; i++) {
 			this.cell.submit("job" + i, SimulatedCell.step(3, i % 3 == 0));
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/TakeOverTests.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/TakeOverTests.java
@@ -13,10 +13,10 @@
 	private final SimulatedCell cell = new SimulatedCell().withWorkers(3);
 
 	@Nested
-	class OfAnOwnerThatIsLost {
+	class WhenTheOwnerIsLost {
 
 		@Test
-		void aKilledOwnersTasksRunOnceAndItsJobsComplete() {
+		void tasksOfAKilledOwnerRunOnceAndItsJobsComplete() {
 			SimulatedCell.Scheduler first = TakeOverTests.this.cell.startOwnerAndStandby();
 			TakeOverTests.this.cell.submit("a", SimulatedCell.step(6, false));
 			TakeOverTests.this.cell.time.runFor(200);
@@ -29,7 +29,7 @@
 		}
 
 		@Test
-		void aSilentOwnerIsReplacedBeforeItsRowLapses() {
+		void anUnresponsiveOwnerIsReplacedBeforeItsRowExpires() {
 			SimulatedCell.Scheduler first = TakeOverTests.this.cell.startOwnerAndStandby();
 			first.kill();
 			TakeOverTests.this.cell.time.runFor(750);
@@ -37,9 +37,9 @@
 		}
 
 		@Test
-		void aHostThatStandsReadyGoesFirstAndAnotherOneIfItIsLostAsWell() {
+		void aStandbyTakesOverFirstAndAnotherHostIfTheStandbyIsLost() {
 			SimulatedCell.Scheduler first = TakeOverTests.this.cell.startOwnerAndStandby();
-			SimulatedCell.Scheduler ready = TakeOverTests.this.cell.addScheduler();
+			SimulatedCell.Scheduler standby = TakeOverTests.this.cell.addScheduler();
 			HostRecord owner = new HostRecord("s0", "domain", "a:1", "first", 1, false);
 			HostRecord other = new HostRecord("s2", "domain", "a:1", "first", 1, false);
 			first.owner.orElseThrow()
@@ -47,14 +47,14 @@
 			TakeOverTests.this.cell.time.runFor(3000);
 			first.kill();
 			TakeOverTests.this.cell.time.runFor(1500);
-			assertThat(ready.owner).isPresent();
-			ready.kill();
+			assertThat(standby.owner).isPresent();
+			standby.kill();
 			TakeOverTests.this.cell.time.runFor(3000);
 			assertThat(TakeOverTests.this.cell.schedulers.get(1).owner).isPresent();
 		}
 
 		@Test
-		void anOwnerThatIsHeardOfButCannotWriteIsReplacedOnceItsRowLapses() {
+		void anOwnerWithHeartbeatsThatCannotWriteIsReplacedOnceItsRowExpires() {
 			SimulatedCell.Scheduler first = TakeOverTests.this.cell.startOwnerAndStandby();
 			TakeOverTests.this.cell.time.runFor(2000);
 			first.tableClient.setDisconnected(true);
@@ -63,7 +63,7 @@
 		}
 
 		@Test
-		void anOwnerThatIsNotHeardOfButRenewsItsRowStays() {
+		void anOwnerWithoutHeartbeatsThatRenewsItsRowIsKept() {
 			SimulatedCell.Scheduler first = TakeOverTests.this.cell.startOwnerAndStandby();
 			first.muteToPeers();
 			TakeOverTests.this.cell.time.runFor(6000);
@@ -71,7 +71,7 @@
 		}
 
 		@Test
-		void aLateWriteOfAFormerOwnerChangesNothing() {
+		void aDelayedWriteOfAFormerOwnerHasNoEffect() {
 			SimulatedCell.Scheduler first = TakeOverTests.this.cell.startOwnerAndStandby();
 			TakeOverTests.this.cell.submit("a", SimulatedCell.step(6, false), SimulatedCell.step(6, false, 0));
 			TakeOverTests.this.cell.time.runFor(300);
@@ -83,7 +83,7 @@
 		}
 
 		@Test
-		void anOwnerCutFromTheTableIsReplacedAndNothingRunsTwice() {
+		void anOwnerDisconnectedFromTheTableIsReplacedAndNoTaskRunsTwice() {
 			SimulatedCell.Scheduler first = TakeOverTests.this.cell.startOwnerAndStandby();
 			for (int i = 0; i < 8; i++) {
 				TakeOverTests.this.cell.submit("job" + i, SimulatedCell.step(4, i % 2 == 0));
@@ -102,20 +102,20 @@
 	}
 
 	@Nested
-	class OfAnOwnerThatGivesUp {
+	class WhenTheOwnerHandsOver {
 
 		@Test
-		void anInvitationThatComesLateIsWithoutEffect() {
+		void anOutdatedTakeOverRequestHasNoEffect() {
 			SimulatedCell.Scheduler first = TakeOverTests.this.cell.startOwnerAndStandby();
-			long old = TakeOverTests.this.cell.table.version();
+			long outdatedVersion = TakeOverTests.this.cell.table.version();
 			TakeOverTests.this.cell.time.runFor(1500);
-			TakeOverTests.this.cell.schedulers.get(1).election.takeOverRequested(old);
+			TakeOverTests.this.cell.schedulers.get(1).election.takeOverRequested(outdatedVersion);
 			TakeOverTests.this.cell.time.runFor(1000);
 			assertThat(TakeOverTests.this.cell.owner()).isSameAs(first);
 		}
 
 		@Test
-		void anOwnerThatTheTableTurnsAwayIsReplacedBeforeItsRowLapses() {
+		void anOwnerWhoseRequestsAreRejectedIsReplacedBeforeItsRowExpires() {
 			SimulatedCell.Scheduler first = TakeOverTests.this.cell.startOwnerAndStandby();
 			first.tableClient.setRejectsRequests(true);
 			TakeOverTests.this.cell.time.runFor(900);
@@ -126,7 +126,7 @@
 		}
 
 		@Test
-		void anOwnerThatAsksToBeReplacedStartsNoJobThatItLearnsThen() {
+		void anOwnerThatRequestedATakeOverStartsNoNewJob() {
 			SimulatedCell.Scheduler only = TakeOverTests.this.cell.addScheduler();
 			TakeOverTests.this.cell.time.runFor(500);
 			only.tableClient.setRejectsRequests(true);
@@ -140,7 +140,7 @@
 		}
 
 		@Test
-		void aProcessFollowsAnEarlierOneOfItsHostWithoutALapse() {
+		void aRestartedProcessTakesOverFromItsPredecessorWithoutAnExpiry() {
 			SimulatedCell.Scheduler first = TakeOverTests.this.cell.addScheduler();
 			TakeOverTests.this.cell.time.runFor(500);
 			first.kill();
@@ -151,7 +151,7 @@
 		}
 
 		@Test
-		void aStoppedOwnerTellsItsSuccessorAtOnce() {
+		void aStoppedOwnerNotifiesItsSuccessorAtOnce() {
 			SimulatedCell.Scheduler first = TakeOverTests.this.cell.startOwnerAndStandby();
 			first.stop();
 			TakeOverTests.this.cell.time.runFor(40);
@@ -159,7 +159,7 @@
 		}
 
 		@Test
-		void aStoppedOwnerHandsOverWithoutALapse() {
+		void aStoppedOwnerHandsOverWithoutAnExpiry() {
 			SimulatedCell.Scheduler first = TakeOverTests.this.cell.startOwnerAndStandby();
 			first.stop();
 			TakeOverTests.this.cell.time.runFor(900);
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/ThrottledPeerNotifierTests.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/ThrottledPeerNotifierTests.java
@@ -20,84 +20,85 @@
 
 	private final VirtualTime time = new VirtualTime();
 
-	private final List<String> told = new ArrayList<>();
+	private final List<String> sent = new ArrayList<>();
 
-	private final ThrottledPeerNotifier news = new ThrottledPeerNotifier(new Recorder(), this.time, this.time.clock());
+	private final ThrottledPeerNotifier notifier = new ThrottledPeerNotifier(new RecordingNotifier(), this.time,
+			this.time.clock());
 
 	@Test
-	void goOutAtOnceAfterAPause() {
-		this.news.publishStates(1, Map.of("a", SubmissionState.RUNNING), Optional.empty());
-		assertThat(this.told).containsExactly("1 {a=RUNNING} -");
+	void sendsAnUpdateAtOnceAfterAPause() {
+		this.notifier.publishStates(1, Map.of("a", SubmissionState.RUNNING), Optional.empty());
+		assertThat(this.sent).containsExactly("1 {a=RUNNING} -");
 		this.time.runFor(ThrottledPeerNotifier.MIN_INTERVAL_MILLIS);
-		this.news.publishStates(1, Map.of("a", SubmissionState.COMPLETED), Optional.of(ONE));
-		assertThat(this.told).containsExactly("1 {a=RUNNING} -", "1 {a=COMPLETED} 1");
+		this.notifier.publishStates(1, Map.of("a", SubmissionState.COMPLETED), Optional.of(ONE));
+		assertThat(this.sent).containsExactly("1 {a=RUNNING} -", "1 {a=COMPLETED} 1");
 	}
 
 	@Test
-	void waitForEachOtherNoLongerThanTheSpacing() {
-		this.news.publishStates(1, Map.of(), Optional.of(ONE));
-		this.told.clear();
+	void collectsUpdatesForNoLongerThanTheMinimumInterval() {
+		this.notifier.publishStates(1, Map.of(), Optional.of(ONE));
+		this.sent.clear();
 		this.time.runFor(10);
-		this.news.publishStates(1, Map.of("a", SubmissionState.RUNNING), Optional.of(TWO));
+		this.notifier.publishStates(1, Map.of("a", SubmissionState.RUNNING), Optional.of(TWO));
 		this.time.runFor(20);
-		this.news.publishStates(1, Map.of("a", SubmissionState.FAILED), Optional.empty());
-		assertThat(this.told).isEmpty();
+		this.notifier.publishStates(1, Map.of("a", SubmissionState.FAILED), Optional.empty());
+		assertThat(this.sent).isEmpty();
 		this.time.runFor(ThrottledPeerNotifier.MIN_INTERVAL_MILLIS - 30);
-		assertThat(this.told).containsExactly("1 {a=FAILED} 2");
+		assertThat(this.sent).containsExactly("1 {a=FAILED} 2");
 		this.time.runFor(10 * ThrottledPeerNotifier.MIN_INTERVAL_MILLIS);
-		assertThat(this.told).hasSize(1);
+		assertThat(this.sent).hasSize(1);
 	}
 
 	@Test
-	void areToldUnderTheEpochInWhichTheyBecameDurable() {
-		this.news.publishStates(1, Map.of(), Optional.of(ONE));
-		this.news.publishStates(1, Map.of("a", SubmissionState.RUNNING), Optional.empty());
-		this.news.publishStates(3, Map.of("b", SubmissionState.RUNNING), Optional.empty());
-		assertThat(this.told).containsExactly("1 {} 1", "1 {a=RUNNING} -");
+	void sendsUpdatesUnderTheEpochInWhichTheyBecameDurable() {
+		this.notifier.publishStates(1, Map.of(), Optional.of(ONE));
+		this.notifier.publishStates(1, Map.of("a", SubmissionState.RUNNING), Optional.empty());
+		this.notifier.publishStates(3, Map.of("b", SubmissionState.RUNNING), Optional.empty());
+		assertThat(this.sent).containsExactly("1 {} 1", "1 {a=RUNNING} -");
 		this.time.runFor(ThrottledPeerNotifier.MIN_INTERVAL_MILLIS);
-		assertThat(this.told).endsWith("3 {b=RUNNING} -");
+		assertThat(this.sent).endsWith("3 {b=RUNNING} -");
 	}
 
 	@Test
-	void areToldBeforeThePoolIsGivenUp() {
-		this.news.publishStates(1, Map.of(), Optional.of(ONE));
-		this.news.publishStates(1, Map.of("a", SubmissionState.RUNNING), Optional.empty());
-		this.news.announceRelease(OwnerRecord.NEVER_OWNED, 7);
-		assertThat(this.told).containsExactly("1 {} 1", "1 {a=RUNNING} -", "released 7");
+	void sendsPendingUpdatesBeforeARelease() {
+		this.notifier.publishStates(1, Map.of(), Optional.of(ONE));
+		this.notifier.publishStates(1, Map.of("a", SubmissionState.RUNNING), Optional.empty());
+		this.notifier.announceRelease(OwnerRecord.NEVER_OWNED, 7);
+		assertThat(this.sent).containsExactly("1 {} 1", "1 {a=RUNNING} -", "released 7");
 		this.time.runFor(ThrottledPeerNotifier.MIN_INTERVAL_MILLIS);
-		assertThat(this.told).hasSize(3);
+		assertThat(this.sent).hasSize(3);
 	}
 
 	@Test
-	void holdUpNeitherHeartbeatsNorInvitations() {
-		this.news.publishStates(1, Map.of(), Optional.of(ONE));
-		this.news.publishStates(1, Map.of("a", SubmissionState.RUNNING), Optional.empty());
-		this.news.sendHeartbeat(1, 5);
-		this.news.requestTakeOver(5);
-		assertThat(this.told).containsExactly("1 {} 1", "heartbeat 1 5", "invitation 5");
+	void delaysNeitherHeartbeatsNorTakeOverRequests() {
+		this.notifier.publishStates(1, Map.of(), Optional.of(ONE));
+		this.notifier.publishStates(1, Map.of("a", SubmissionState.RUNNING), Optional.empty());
+		this.notifier.sendHeartbeat(1, 5);
+		this.notifier.requestTakeOver(5);
+		assertThat(this.sent).containsExactly("1 {} 1", "heartbeat 1 5", "take-over request 5");
 	}
 
-	private final class Recorder implements PeerNotifier {
+	private final class RecordingNotifier implements PeerNotifier {
 
 		@Override
 		public void sendHeartbeat(long epoch, long version) {
-			ThrottledPeerNotifierTests.this.told.add("heartbeat " + epoch + " " + version);
+			ThrottledPeerNotifierTests.this.sent.add("heartbeat " + epoch + " " + version);
 		}
 
 		@Override
 		public void publishStates(long epoch, Map<String, SubmissionState> states, Optional<QueueCount> pending) {
 			String counted = pending.map((count) -> String.valueOf(count.summary().pending().get("q"))).orElse("-");
-			ThrottledPeerNotifierTests.this.told.add(epoch + " " + states + " " + counted);
+			ThrottledPeerNotifierTests.this.sent.add(epoch + " " + states + " " + counted);
 		}
 
 		@Override
 		public void announceRelease(OwnerRecord record, long version) {
-			ThrottledPeerNotifierTests.this.told.add("released " + version);
+			ThrottledPeerNotifierTests.this.sent.add("released " + version);
 		}
 
 		@Override
 		public void requestTakeOver(long version) {
-			ThrottledPeerNotifierTests.this.told.add("invitation " + version);
+			ThrottledPeerNotifierTests.this.sent.add("take-over request " + version);
 		}
 
 	}
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/UnknownJobsTests.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/UnknownJobsTests.java
@@ -11,12 +11,16 @@
 
 	private static final TaskKey TASK = new TaskKey("late", 0, 0, 0);
 
-	/** Long enough for the owner to look at the worker, milliseconds. */
-	private static final long LOOKED_MILLIS = 500;
+	/** Time after which the owner has polled the worker, milliseconds. */
+	private static final long POLLED_MILLIS = 500;
 
 	private final SimulatedCell cell = new SimulatedCell().withWorkers(1);
 
-	private void aFormerOwnerHasStartedATaskThatRunsFor(long millis) {
+	/**
+	 * Starts a task as a former owner, before any scheduler runs.
+	 * @param millis how long the task runs, milliseconds
+	 */
+	private void startTaskOfFormerOwner(long millis) {
 		this.cell.withRunMillis(millis);
 		WorkerInfo worker = this.cell.workers.listedWorkers().get(0);
 		long lease = this.cell.time.millis() + OwnerLease.MAX_ORDER_VALIDITY_MILLIS;
@@ -25,46 +29,46 @@
 		this.cell.withRunMillis(SimulatedCell.RUN_MILLIS);
 	}
 
-	private void isServedOnce() {
+	private void assertCompletedOnce() {
 		assertThat(this.cell.durableState(TASK.job())).isEqualTo(SubmissionState.COMPLETED);
 		assertThat(this.cell.workers.startCount(TASK)).isEqualTo(1);
 		assertThat(this.cell.workers.violations()).isEmpty();
 	}
 
 	@Nested
-	class WhoseRowComesLater {
+	class WhoseRowIsReadLater {
 
 		@Test
 		void keepTheirRuns() {
-			aFormerOwnerHasStartedATaskThatRunsFor(3000);
+			startTaskOfFormerOwner(3000);
 			UnknownJobsTests.this.cell.addScheduler();
-			UnknownJobsTests.this.cell.time.runFor(LOOKED_MILLIS);
+			UnknownJobsTests.this.cell.time.runFor(POLLED_MILLIS);
 			assertThat(UnknownJobsTests.this.cell.workers.runningTaskCount()).isEqualTo(1);
 			UnknownJobsTests.this.cell.submit(TASK.job(), SimulatedCell.step(1, false));
 			UnknownJobsTests.this.cell.time.runFor(4000);
-			isServedOnce();
+			assertCompletedOnce();
 		}
 
 		@Test
 		void keepTheirEnds() {
-			aFormerOwnerHasStartedATaskThatRunsFor(100);
+			startTaskOfFormerOwner(100);
 			UnknownJobsTests.this.cell.time.runFor(200);
 			UnknownJobsTests.this.cell.addScheduler();
-			UnknownJobsTests.this.cell.time.runFor(LOOKED_MILLIS);
+			UnknownJobsTests.this.cell.time.runFor(POLLED_MILLIS);
 			UnknownJobsTests.this.cell.submit(TASK.job(), SimulatedCell.step(1, false));
 			UnknownJobsTests.this.cell.time.runFor(1500);
-			isServedOnce();
+			assertCompletedOnce();
 		}
 
 		@Test
-		void doNotLoseTheEndsOfOtherJobsMeanwhile() {
-			aFormerOwnerHasStartedATaskThatRunsFor(700);
+		void doNotAffectTheEndsOfOtherJobs() {
+			startTaskOfFormerOwner(700);
 			UnknownJobsTests.this.cell.submit("known", SimulatedCell.step(2, false));
 			UnknownJobsTests.this.cell.addScheduler();
 			UnknownJobsTests.this.cell.time.runFor(2500);
 			UnknownJobsTests.this.cell.submit(TASK.job(), SimulatedCell.step(1, false));
 			UnknownJobsTests.this.cell.time.runFor(1500);
-			isServedOnce();
+			assertCompletedOnce();
 			assertThat(UnknownJobsTests.this.cell.durableState("known")).isEqualTo(SubmissionState.COMPLETED);
 			assertThat(UnknownJobsTests.this.cell.workers.startCount(new TaskKey("known", 0, 0, 0))).isEqualTo(1);
 		}
@@ -72,11 +76,11 @@
 	}
 
 	@Nested
-	class WhoseRowNeverComes {
+	class WhoseRowIsNeverFound {
 
 		@Test
-		void areStoppedAndGiveTheRoomBack() {
-			aFormerOwnerHasStartedATaskThatRunsFor(60_000);
+		void areStoppedAndFreeTheirCapacity() {
+			startTaskOfFormerOwner(60_000);
 			UnknownJobsTests.this.cell.addScheduler();
 			UnknownJobsTests.this.cell.time.runFor(UnknownJobs.ROW_WAIT_MILLIS + 2000);
 			assertThat(UnknownJobsTests.this.cell.workers.runningTaskCount()).isZero();
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/UnreadableJobsTests.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/UnreadableJobsTests.java
@@ -15,8 +15,8 @@
 
 	private static final TaskKey TASK = new TaskKey("other", 0, 0, 0);
 
-	/** Time for a job to be served. */
-	private static final long SERVED_MILLIS = 4000;
+	/** Time in which a job completes, milliseconds. */
+	private static final long COMPLETION_MILLIS = 4000;
 
 	private final SimulatedCell cell = new SimulatedCell().withWorkers(2);
 
@@ -29,13 +29,17 @@
 		write(JobTables.PROGRESS, JobTables.POOL_PARTITION, "other", value);
 	}
 
-	private long told(String table) {
+	private long unreadableRowCount(String table) {
 		return this.cell.decisions.stream()
 			.filter((decision) -> decision instanceof ProcessDecision.RowUnreadable row && row.table().equals(table))
 			.count();
 	}
 
-	private void aTaskOfTheOtherJobRunsFor(long millis) {
+	/**
+	 * Starts a task of the job "other" as a former owner.
+	 * @param millis how long the task runs, milliseconds
+	 */
+	private void startTaskOfTheOtherJob(long millis) {
 		this.cell.withRunMillis(millis);
 		WorkerInfo worker = this.cell.workers.listedWorkers().get(0);
 		long lease = this.cell.time.millis() + OwnerLease.MAX_ORDER_VALIDITY_MILLIS;
@@ -45,7 +49,7 @@
 	}
 
 	@Nested
-	class AJobWhoseProgressCannotBeRead {
+	class AJobWithUnreadableProgress {
 
 		@ParameterizedTest
 		@ValueSource(strings = { "", "null", "{", "7", "{\"state\":\"PAUSED\",\"steps\":{}}", "{\"steps\":{}}",
@@ -53,38 +57,38 @@
 				"{\"state\":\"RUNNING\",\"steps\":{\"first\":{\"done\":[],\"failedAttempts\":{},\"checkpoints\":{}}}}",
 				"{\"state\":\"RUNNING\",\"steps\":{\"0.7\":{\"done\":[],\"failedAttempts\":{},\"checkpoints\":{}}}}",
 				"{\"state\":\"RUNNING\",\"steps\":{\"0.0\":{\"done\":[-1],\"failedAttempts\":{},\"checkpoints\":{}}}}" })
-		void isLeftAloneAndAllOthersAreServed(String progress) {
+		void isSkippedWhileAllOthersComplete(String progress) {
 			writeProgress(progress);
 			UnreadableJobsTests.this.cell.submit("other", SimulatedCell.step(1, false));
 			UnreadableJobsTests.this.cell.submit("known", SimulatedCell.step(2, false));
 			UnreadableJobsTests.this.cell.addScheduler();
-			UnreadableJobsTests.this.cell.time.runFor(SERVED_MILLIS);
+			UnreadableJobsTests.this.cell.time.runFor(COMPLETION_MILLIS);
 			UnreadableJobsTests.this.cell.assertCompleted("known");
 			assertThat(UnreadableJobsTests.this.cell.workers.startCount(TASK)).isZero();
-			assertThat(told(JobTables.PROGRESS)).isEqualTo(1);
+			assertThat(unreadableRowCount(JobTables.PROGRESS)).isEqualTo(1);
 		}
 
 		@Test
 		void keepsItsRuns() {
-			aTaskOfTheOtherJobRunsFor(60_000);
+			startTaskOfTheOtherJob(60_000);
 			writeProgress("{\"state\":\"PAUSED\",\"steps\":{}}");
 			UnreadableJobsTests.this.cell.submit("other", SimulatedCell.step(1, false));
 			UnreadableJobsTests.this.cell.submit("known", SimulatedCell.step(2, false));
 			UnreadableJobsTests.this.cell.addScheduler();
-			UnreadableJobsTests.this.cell.time.runFor(UnknownJobs.ROW_WAIT_MILLIS + SERVED_MILLIS);
+			UnreadableJobsTests.this.cell.time.runFor(UnknownJobs.ROW_WAIT_MILLIS + COMPLETION_MILLIS);
 			UnreadableJobsTests.this.cell.assertCompleted("known");
 			assertThat(UnreadableJobsTests.this.cell.workers.runningTaskCount()).isEqualTo(1);
 			assertThat(UnreadableJobsTests.this.cell.workers.startCount(TASK)).isEqualTo(1);
 		}
 
 		@Test
-		void isServedOnceItCanBeRead() {
+		void completesOnceItsProgressIsReadable() {
 			writeProgress("{");
 			UnreadableJobsTests.this.cell.submit("other", SimulatedCell.step(1, false));
 			UnreadableJobsTests.this.cell.addScheduler();
-			UnreadableJobsTests.this.cell.time.runFor(SERVED_MILLIS);
+			UnreadableJobsTests.this.cell.time.runFor(COMPLETION_MILLIS);
 			writeProgress("{\"state\":\"QUEUED\",\"steps\":{},\"later\":1}");
-			UnreadableJobsTests.this.cell.time.runFor(SERVED_MILLIS);
+			UnreadableJobsTests.this.cell.time.runFor(COMPLETION_MILLIS);
 			UnreadableJobsTests.this.cell.assertCompleted("other");
 			assertThat(UnreadableJobsTests.this.cell.workers.startCount(TASK)).isEqualTo(1);
 		}
@@ -92,10 +96,10 @@
 	}
 
 	@Nested
-	class AWorkerWhoseEntryCannotBeReadAnyMore {
+	class AWorkerWhoseEntryBecomesUnreadable {
 
 		@Test
-		void keepsItsRunsForLongerThanALeaseAndGetsNothingNew() {
+		void keepsItsRunsBeyondALeaseAndGetsNoNewTasks() {
 			SimulatedCell cell = new SimulatedCell().withWorkers(1).withRunMillis(15_000);
 			cell.addScheduler();
 			cell.submit("first", SimulatedCell.step(1, false));
@@ -111,72 +115,72 @@
 	}
 
 	@Nested
-	class AJobWhoseRowCannotBeRead {
+	class AJobWithAnUnreadableRow {
 
 		@ParameterizedTest
 		@ValueSource(strings = { "", "null", "{}", "[]", "{\"id\":\"other\",\"steps\":[null]}",
 				"{\"id\":\"other\",\"policy\":null,\"spec\":\"\",\"steps\":[],\"timetable\":null}" })
-		void isLeftAloneAndAllOthersAreServed(String row) {
+		void isSkippedWhileAllOthersComplete(String row) {
 			write(JobTables.JOBS, JobTables.partition("other"), "other", row);
 			UnreadableJobsTests.this.cell.submit("known", SimulatedCell.step(2, false));
 			UnreadableJobsTests.this.cell.addScheduler();
-			UnreadableJobsTests.this.cell.time.runFor(SERVED_MILLIS);
+			UnreadableJobsTests.this.cell.time.runFor(COMPLETION_MILLIS);
 			UnreadableJobsTests.this.cell.assertCompleted("known");
-			assertThat(told(JobTables.JOBS)).isEqualTo(1);
+			assertThat(unreadableRowCount(JobTables.JOBS)).isEqualTo(1);
 		}
 
 		@Test
-		void isLeftAloneIfTheRowNamesAnother() {
+		void isSkippedIfItsRowNamesAnotherJob() {
 			UnreadableJobsTests.this.cell.submit("known", SimulatedCell.step(1, false));
 			UnreadableJobsTests.this.cell.time.runFor(50);
 			String row = UnreadableJobsTests.this.cell.table.value(JobTables.JOBS, JobTables.partition("known"),
 					"known");
 			write(JobTables.JOBS, JobTables.partition("other"), "other", row);
 			UnreadableJobsTests.this.cell.addScheduler();
-			UnreadableJobsTests.this.cell.time.runFor(SERVED_MILLIS);
+			UnreadableJobsTests.this.cell.time.runFor(COMPLETION_MILLIS);
 			UnreadableJobsTests.this.cell.assertCompleted("known");
-			assertThat(told(JobTables.JOBS)).isEqualTo(1);
+			assertThat(unreadableRowCount(JobTables.JOBS)).isEqualTo(1);
 		}
 
 		@Test
 		void keepsItsRuns() {
-			aTaskOfTheOtherJobRunsFor(60_000);
+			startTaskOfTheOtherJob(60_000);
 			write(JobTables.JOBS, JobTables.partition("other"), "other", "{");
 			UnreadableJobsTests.this.cell.addScheduler();
-			UnreadableJobsTests.this.cell.time.runFor(UnknownJobs.ROW_WAIT_MILLIS + SERVED_MILLIS);
+			UnreadableJobsTests.this.cell.time.runFor(UnknownJobs.ROW_WAIT_MILLIS + COMPLETION_MILLIS);
 			assertThat(UnreadableJobsTests.this.cell.workers.runningTaskCount()).isEqualTo(1);
 		}
 
 	}
 
 	@Nested
-	class AnOwnersRowThatCannotBeRead {
+	class AnUnreadableOwnersRow {
 
 		@ParameterizedTest
 		@ValueSource(strings = { "", "null", "{", "{}", "{\"holder\":null,\"host\":\"s0\",\"workers\":[]}" })
 		void isNeverOverwritten(String row) {
 			write(JobTables.OWNER, JobTables.POOL_PARTITION, JobTables.OWNER_KEY, row);
 			UnreadableJobsTests.this.cell.addScheduler();
-			UnreadableJobsTests.this.cell.time.runFor(SERVED_MILLIS);
+			UnreadableJobsTests.this.cell.time.runFor(COMPLETION_MILLIS);
 			assertThat(UnreadableJobsTests.this.cell.hasOwner()).isFalse();
 			assertThat(UnreadableJobsTests.this.cell.table.value(JobTables.OWNER, JobTables.POOL_PARTITION,
 					JobTables.OWNER_KEY))
 				.isEqualTo(row);
-			assertThat(told(JobTables.OWNER)).isEqualTo(1);
+			assertThat(unreadableRowCount(JobTables.OWNER)).isEqualTo(1);
 		}
 
 		@Test
-		void endsTheTermOfTheOwnerBeforeIt() {
+		void endsTheTermOfTheCurrentOwner() {
 			UnreadableJobsTests.this.cell.addScheduler();
 			UnreadableJobsTests.this.cell.time.runFor(1000);
 			write(JobTables.OWNER, JobTables.POOL_PARTITION, JobTables.OWNER_KEY, "{");
 			UnreadableJobsTests.this.cell.submit("known", SimulatedCell.step(1, false));
-			UnreadableJobsTests.this.cell.time.runFor(SERVED_MILLIS);
+			UnreadableJobsTests.this.cell.time.runFor(COMPLETION_MILLIS);
 			assertThat(UnreadableJobsTests.this.cell.hasOwner()).isFalse();
 		}
 
 		@Test
-		void namesNoTaskForGuesses() {
+		void ignoresAnInvalidTaskId() {
 			WorkerPool pool = new WorkerPool();
 			pool.recoverFrom(new OwnerRecord("h", "s0", 1, 1, false, java.util.List.of("w0"),
 					java.util.Map.of("w1", java.util.List.of("not a task")), HostSize.UNKNOWN, java.util.List.of(),
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/VirtualTime.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/VirtualTime.java
@@ -13,8 +13,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * An executor whose time moves only when told to, so that tests of spans are exact. A
- * task's failure fails the test. Not thread-safe.
+ * An executor with a virtual clock that only advances in {@link #runFor}, so that tests
+ * can check durations exactly. An exception of a task is thrown to the test. Not
+ * thread-safe.
  */
 public final class VirtualTime extends AbstractExecutorService implements ScheduledExecutorService {
 
@@ -45,7 +46,7 @@
 		this.nowNanos = end;
 	}
 
-	/** Tasks that are still to run. */
+	/** Returns the number of tasks that have not run yet and were not cancelled. */
 	public long pendingTaskCount() {
 		return this.tasks.stream().filter((task) -> !task.isCancelled()).count();
 	}
