--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/JobRegistry.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/JobRegistry.java
@@ -143,7 +143,7 @@
 				this.timetabled.remove(id);
 			}
 			else {
-				openSteps(job, nowMillis);
+				openDueSteps(job, nowMillis);
 			}
 		}
 	}
@@ -157,7 +157,7 @@
 		}
 	}
 
-	private void openSteps(SubmittedJob job, long nowMillis) {
+	private void openDueSteps(SubmittedJob job, long nowMillis) {
 		Submission submission = job.submission();
 		for (int occurrence = 0; occurrence < submission.timetable().occurrences(); occurrence++) {
 			if (submission.timetable().dueMillis(occurrence) > nowMillis) {
@@ -199,7 +199,7 @@
 	}
 
 	/**
-	 * Defers the start of a job's tasks until the owner's row is written again, as
+	 * Defers the start of a job's tasks until the owner record is written again, as
 	 * another owner may have taken over before the job was stored.
 	 * @param id the job's id
 	 * @param version version of the job's row
@@ -209,7 +209,7 @@
 	}
 
 	/**
-	 * Allows the start of deferred jobs that were stored before the owner's row was
+	 * Allows the start of deferred jobs that were stored before the owner record was
 	 * written.
 	 * @param isConfirmed determines this from the version of a job's row
 	 */
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/OwnerElection.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/OwnerElection.java
@@ -21,7 +21,7 @@
 import org.monsoonrelay.logic.submission.JobTables;
 
 /**
- * Watches the owner's row and takes the pool over when it has no owner: the row was
+ * Watches the owner record and takes the pool over when it has no owner: the row was
  * released, was never written, or has not changed for {@link OwnerLease#EXPIRY_MILLIS}
  * while readable; earlier if the owner's heartbeats stop. {@link TakeOverPolicy} decides
  * which host goes first. A take-over is a write on condition of the row's version, so
@@ -54,8 +54,8 @@
 	/**
 	 * Time after an early take-over during which a former owner that does not confirm its
 	 * ownership may have started a job that this process learns of, milliseconds: expiry
-	 * of its row plus the delay of a slow job feed. Such jobs wait for all workers to be
-	 * accounted for.
+	 * of its row plus the delay of a slow job feed. Such jobs wait until the recovery is
+	 * complete.
 	 */
 	private static final long FORMER_OWNER_START_MILLIS = OwnerLease.EXPIRY_MILLIS + 800;
 
@@ -120,7 +120,7 @@
 			.latestOnly();
 	}
 
-	/** Starts to watch the owner's row. */
+	/** Starts to watch the owner record. */
 	public void start() {
 		this.follower.start();
 		this.control.scheduleWithFixedDelay(this::checkOwnership, CHECK_INTERVAL_MILLIS, CHECK_INTERVAL_MILLIS,
@@ -240,7 +240,7 @@
 
 	/**
 	 * Whether the owner has selected this host as a standby.
-	 * @return {@code true} if the owner's row names this host
+	 * @return {@code true} if the owner record names this host
 	 */
 	public boolean isStandby() {
 		return this.current.filter((record) -> record.standbys().contains(this.self.host())).isPresent();
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/OwnerLease.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/OwnerLease.java
@@ -3,22 +3,22 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The owner's lease on the pool, which each write of the owner's row renews, and the
+ * The owner's lease on the pool, which each write of the owner record renews, and the
  * worker leases that it allows. Other hosts may take the pool over once the row has not
  * changed for {@link #EXPIRY_MILLIS}; they then wait {@link #MAX_WORKER_LEASE_MILLIS} for
- * workers that they cannot reach. Invariant: no command carries a worker lease that ends
- * later than {@link #MAX_ORDER_VALIDITY_MILLIS} after the last renewal, even if this
- * process was suspended in between. Not thread-safe: confined to the control thread.
+ * workers that they cannot reach. Invariant: no request to a worker carries a lease that
+ * ends later than {@link #MAX_REQUEST_VALIDITY_MILLIS} after the last renewal, even if
+ * this process was suspended in between. Not thread-safe: confined to the control thread.
  */
 final class OwnerLease {
 
-	/** Maximum interval between writes of the owner's row, milliseconds. */
+	/** Maximum interval between writes of the owner record, milliseconds. */
 	static final long RENEWAL_INTERVAL_MILLIS = 400;
 
 	/**
 	 * Time without a change of the row after which other hosts take the pool over,
-	 * milliseconds. Up to five renewals may be lost. Shorter values caused unsafe
-	 * take-overs while the table answered 60 times as slowly as usual.
+	 * milliseconds. Up to five renewals may be lost. Shorter values were not safe with a
+	 * service that answered 60 times as slowly as usual.
 	 */
 	static final long EXPIRY_MILLIS = 2200;
 
@@ -29,13 +29,13 @@
 	static final long MAX_WORKER_LEASE_MILLIS = 7000;
 
 	/**
-	 * Time after a take-over for which commands of a former owner that does not know of
+	 * Time after a take-over for which requests of a former owner that does not know of
 	 * its successor may keep a run alive, milliseconds. The former owner stops at the
 	 * latest when its own lease has expired.
 	 */
-	static final long MAX_ORDER_VALIDITY_MILLIS = EXPIRY_MILLIS + MAX_WORKER_LEASE_MILLIS;
+	static final long MAX_REQUEST_VALIDITY_MILLIS = EXPIRY_MILLIS + MAX_WORKER_LEASE_MILLIS;
 
-	/** Minimum duration of a worker lease that is worth a command, milliseconds. */
+	/** Minimum duration of a worker lease that is worth a request, milliseconds. */
 	static final long MIN_WORKER_LEASE_MILLIS = 400;
 
 	private final long epoch;
@@ -54,7 +54,7 @@
 	}
 
 	/**
-	 * Records a successful write of the owner's row.
+	 * Records a successful write of the owner record.
 	 * @param sentNanos when the write was sent, on the monotonic clock
 	 * @param sentWallMillis when the write was sent, epoch milliseconds
 	 */
@@ -77,7 +77,7 @@
 	 * @return milliseconds, negative if the owner's lease has expired for too long
 	 */
 	long workerLeaseMillis() {
-		long remaining = MAX_ORDER_VALIDITY_MILLIS - millisSinceRenewal();
+		long remaining = MAX_REQUEST_VALIDITY_MILLIS - millisSinceRenewal();
 		return Math.min(MAX_WORKER_LEASE_MILLIS, remaining);
 	}
 
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/OwnerRecord.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/OwnerRecord.java
@@ -5,12 +5,12 @@
 import java.util.Objects;
 
 /**
- * The owner's row: which process owns the pool, and what its successor has to know.
+ * The owner record: which process owns the pool, and what its successor has to know.
  * Stored as JSON. Immutable.
  *
  * @param holder random id of the owner's process
  * @param host the owner's host
- * @param epoch incremented with each change of owner; the fencing token of its commands
+ * @param epoch incremented with each change of owner; the fencing token of its requests
  * @param sequence incremented with each write of the owner
  * @param released whether the owner has released the pool
  * @param workers ids of the workers on which an owner may have started tasks; an owner
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/PeerNotifier.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/PeerNotifier.java
@@ -14,7 +14,7 @@
 
 	/**
 	 * Sends a heartbeat of the owner. The other hosts take over early if heartbeats stop
-	 * while the owner's row does not change.
+	 * while the owner record does not change.
 	 * @param epoch the owner's epoch
 	 * @param version version of the row that the owner wrote last
 	 */
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/PoolDependencies.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/PoolDependencies.java
@@ -10,14 +10,14 @@
  * The services that an owner of the pool depends on. Immutable.
  *
  * @param table the platform's table
- * @param orders client for commands to workers
+ * @param workerClient client for requests to workers
  * @param eligibility determines which workers may run a step
  * @param control executor of the control thread
  * @param clock the clocks
  * @param log the decision log
  * @param unreadable records rows that cannot be read
  */
-public record PoolDependencies(PartitionedTable table, WorkerClient orders, EligibilityClient eligibility,
+public record PoolDependencies(PartitionedTable table, WorkerClient workerClient, EligibilityClient eligibility,
 		ScheduledExecutorService control, PoolClock clock, DecisionLog log, UnreadableRows unreadable) {
 
 }
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/PoolOwner.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/PoolOwner.java
@@ -118,7 +118,7 @@
 		this.jobTables = jobTables;
 		this.eligibility = new EligibilityTracker(dependencies.eligibility(), dependencies.control(),
 				dependencies.clock(), dependencies.log(), this::eligibilityAnswered);
-		this.runs = new RunController(dependencies.orders(), this.lease, this.pool, this.registry,
+		this.runs = new RunController(dependencies.workerClient(), this.lease, this.pool, this.registry,
 				this.jobTables::isLoaded, this.eligibility, dependencies.control(), dependencies.clock(),
 				dependencies.log(), new PoolRunListener());
 		this.placer = new TaskPlacer(this.registry, this.pool, this.runs, this.eligibility, this.lease,
@@ -255,7 +255,7 @@
 	}
 
 	private void checkRecovery() {
-		if (ageMillis() > OwnerLease.MAX_ORDER_VALIDITY_MILLIS / WorkerLease.MIN_CLOCK_RATE) {
+		if (ageMillis() > OwnerLease.MAX_REQUEST_VALIDITY_MILLIS / WorkerLease.MIN_CLOCK_RATE) {
 			this.pool.abandonRecovery();
 		}
 		if (!this.recoveryComplete && this.pool.isRecoveryComplete()) {
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/PoolStateWriter.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/PoolStateWriter.java
@@ -22,8 +22,8 @@
 import org.monsoonrelay.model.submission.SubmittedJob;
 
 /**
- * Writes the progress of jobs and renews the owner's row in the same transaction.
- * Invariants: every write is conditional on the version of the owner's row that this
+ * Writes the progress of jobs and renews the owner record in the same transaction.
+ * Invariants: every write is conditional on the version of the owner record that this
  * owner wrote last, so that nothing is written after another owner has taken over; at
  * most one write is in flight; a write whose outcome is unknown is retried unchanged
  * until the outcome is known. Not thread-safe: confined to the control thread.
@@ -135,7 +135,7 @@
 	}
 
 	/**
-	 * Sets the standbys for the next write of the owner's row.
+	 * Sets the standbys for the next write of the owner record.
 	 * @param hosts names of the standby hosts
 	 * @param largestHost size of the largest host
 	 */
@@ -189,7 +189,7 @@
 	}
 
 	/**
-	 * Returns the version of the owner's row that this owner wrote last.
+	 * Returns the version of the owner record that this owner wrote last.
 	 * @return the version
 	 */
 	long version() {
@@ -291,7 +291,7 @@
 			states.put(job.id(), state);
 		});
 		this.workers.markRecorded(batch.record().workers());
-		this.workers.markDurable(batch.ends());
+		this.workers.markDurable(batch.terminations());
 		if (batch.record().released()) {
 			this.closed = true;
 			this.listener.released(this.record, this.version);
@@ -304,7 +304,7 @@
 	}
 
 	private record Batch(PartitionWrite write, OwnerRecord record, Map<SubmittedJob, SubmissionState> states,
-			Optional<QueueSummary> summary, boolean isCountChanged, Map<String, Long> ends) {
+			Optional<QueueSummary> summary, boolean isCountChanged, Map<String, Long> terminations) {
 
 		Optional<QueueCount> changedCount(long version) {
 			return this.summary.filter((counted) -> this.isCountChanged)
@@ -330,7 +330,8 @@
 		void writesRejected();
 
 		/**
-		 * Called before the releasing write is sent. No command may be sent from then on.
+		 * Called before the releasing write is sent. No request to a worker may be sent
+		 * from then on.
 		 */
 		void releaseStarting();
 
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/JobDiagnosisTests.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/JobDiagnosisTests.java
@@ -123,8 +123,8 @@
 	}
 
 	/**
-	 * Incidents that are described under docs/incidents, as far as a simulated cell reproduces
-	 * their log lines.
+	 * Incidents that are described under docs/incidents, as far as a simulated cell
+	 * reproduces their log lines.
 	 */
 	@Nested
 	class Incidents {
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/UnknownJobsTests.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/UnknownJobsTests.java
@@ -23,7 +23,7 @@
 	private void startTaskOfFormerOwner(long millis) {
 		this.cell.withRunMillis(millis);
 		WorkerInfo worker = this.cell.workers.listedWorkers().get(0);
-		long lease = this.cell.time.millis() + OwnerLease.MAX_ORDER_VALIDITY_MILLIS;
+		long lease = this.cell.time.millis() + OwnerLease.MAX_REQUEST_VALIDITY_MILLIS;
 		this.cell.workers.client().start(worker, new RunStartRequest(TASK, 1, "text", lease, 0, "", ""));
 		this.cell.time.runFor(10);
 		this.cell.withRunMillis(SimulatedCell.RUN_MILLIS);
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/UnreadableJobsTests.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/UnreadableJobsTests.java
@@ -42,7 +42,7 @@
 	private void startTaskOfTheOtherJob(long millis) {
 		this.cell.withRunMillis(millis);
 		WorkerInfo worker = this.cell.workers.listedWorkers().get(0);
-		long lease = this.cell.time.millis() + OwnerLease.MAX_ORDER_VALIDITY_MILLIS;
+		long lease = this.cell.time.millis() + OwnerLease.MAX_REQUEST_VALIDITY_MILLIS;
 		this.cell.workers.client().start(worker, new RunStartRequest(TASK, 1, "text", lease, 0, "", ""));
 		this.cell.time.runFor(10);
 		this.cell.withRunMillis(SimulatedCell.RUN_MILLIS);
@@ -106,7 +106,7 @@
 			cell.time.runFor(500);
 			cell.workers.drain("w0");
 			cell.submit("second", SimulatedCell.step(1, false));
-			cell.time.runFor(OwnerLease.MAX_ORDER_VALIDITY_MILLIS + 6000);
+			cell.time.runFor(OwnerLease.MAX_REQUEST_VALIDITY_MILLIS + 6000);
 			cell.assertCompleted("first");
 			assertThat(cell.workers.startCount(new TaskKey("first", 0, 0, 0))).isEqualTo(1);
 			assertThat(cell.workers.startCount(new TaskKey("second", 0, 0, 0))).isZero();
--- a/monsoonrelay-scheduler/src/main/java/org/monsoonrelay/scheduler/pool/PoolScheduler.java
+++ b/monsoonrelay-scheduler/src/main/java/org/monsoonrelay/scheduler/pool/PoolScheduler.java
@@ -241,7 +241,7 @@
 				"none", false, 0);
 		PollRequest poll = new PollRequest(0, 0, OptionalLong.empty(), Duration.ZERO);
 		for (int i = 0; i < TRAINING_CALLS; i++) {
-			this.dependencies.orders().poll(placeholder, poll).join();
+			this.dependencies.workerClient().poll(placeholder, poll).join();
 			this.dependencies.table().commit(PartitionWrite.to("none")).join();
 		}
 	}
