--- a/monsoonrelay-gateway/src/main/java/org/monsoonrelay/gateway/jobs/JobGateway.java
+++ b/monsoonrelay-gateway/src/main/java/org/monsoonrelay/gateway/jobs/JobGateway.java
@@ -26,7 +26,7 @@
 import org.monsoonrelay.logic.submission.StorageAvailabilityMonitor;
 import org.monsoonrelay.logic.submission.SubmissionService;
 import org.monsoonrelay.model.host.HostAddress;
-import org.monsoonrelay.platform.ConfigurationFeed;
+import org.monsoonrelay.platform.ConfigurationFollower;
 import org.monsoonrelay.platform.HostSettings;
 import org.monsoonrelay.platform.JobRoutes;
 import org.monsoonrelay.platform.ReadyRoute;
@@ -79,7 +79,7 @@
 
 	private final PartitionedTable table;
 
-	private final ConfigurationFeed configuration;
+	private final ConfigurationFollower configuration;
 
 	private final OwnerLink ownerLink;
 
@@ -105,7 +105,7 @@
 	 * @param log takes decisions
 	 * @param unreadable takes note of rows that cannot be read
 	 */
-	public JobGateway(HostSettings settings, PartitionedTable table, ConfigurationFeed configuration,
+	public JobGateway(HostSettings settings, PartitionedTable table, ConfigurationFollower configuration,
 			PeerNetwork network, MetricRegistry metrics, DecisionLog log, UnreadableRows unreadable) {
 		this.settings = settings;
 		this.configuration = configuration;
@@ -119,7 +119,8 @@
 				this::stateReadInterval, this.timer, jobStates);
 		this.service = new SubmissionService(this.table, jobStates, this.ownerLink, this.ownerLink, this.storage,
 				this.timer, System::nanoTime);
-		JobRoutes routes = new JobRoutes(configuration::inForce, this.service, PoolClock.SYSTEM, log, metrics);
+		JobRoutes routes = new JobRoutes(configuration::activeConfiguration, this.service, PoolClock.SYSTEM, log,
+				metrics);
 		this.callers = new HttpServer(required(settings.callerAddress(), "callers"), MAXIMUM_BODY_BYTES,
 				(application) -> {
 					this.drain.addTo(application);
@@ -165,7 +166,7 @@
 		if (this.drain.isStopping()) {
 			return Optional.of("stopping");
 		}
-		if (this.configuration.inForce().version() == 0) {
+		if (this.configuration.activeConfiguration().version() == 0) {
 			return Optional.of("no configuration is in force yet");
 		}
 		if (!this.storage.isAvailable()) {
--- a/monsoonrelay-host/src/main/java/org/monsoonrelay/host/Host.java
+++ b/monsoonrelay-host/src/main/java/org/monsoonrelay/host/Host.java
@@ -121,7 +121,7 @@
 	}
 
 	@Override
-	public void reloaded(String outcome) {
+	public void settingsReloaded(String outcome) {
 		this.log.write(new ProcessDecision.SettingsReloaded(ROLE, outcome));
 	}
 
--- a/monsoonrelay-scheduler/src/main/java/org/monsoonrelay/scheduler/pool/PeerEligibilityClient.java
+++ b/monsoonrelay-scheduler/src/main/java/org/monsoonrelay/scheduler/pool/PeerEligibilityClient.java
@@ -16,7 +16,7 @@
 import org.monsoonrelay.logic.pool.EligibilityClient;
 import org.monsoonrelay.model.host.HostAddress;
 import org.monsoonrelay.model.submission.StepKey;
-import org.monsoonrelay.platform.HttpEligibility;
+import org.monsoonrelay.platform.HttpEligibilityClient;
 
 /**
  * Asks for eligible workers from this host or, through its scheduler, from another one.
@@ -26,13 +26,13 @@
 
 	private final String self;
 
-	private final HttpEligibility service;
+	private final HttpEligibilityClient service;
 
 	private final PeerNetwork network;
 
 	private final Function<String, Optional<HostAddress>> addressOfHost;
 
-	PeerEligibilityClient(String self, HttpEligibility service, PeerNetwork network,
+	PeerEligibilityClient(String self, HttpEligibilityClient service, PeerNetwork network,
 			Function<String, Optional<HostAddress>> addressOfHost) {
 		this.self = self;
 		this.service = service;
@@ -44,7 +44,7 @@
 	public CompletableFuture<Map<String, String>> requestTickets(String host, StepKey step, List<String> workers,
 			Duration timeout) {
 		if (host.equals(this.self)) {
-			return this.service.ask(step.toString(), workers, timeout)
+			return this.service.requestTickets(step.toString(), workers, timeout)
 				.thenApply(PeerEligibilityClient::withInternedIds);
 		}
 		Optional<HostAddress> address = this.addressOfHost.apply(host);
@@ -75,7 +75,7 @@
 	 * @return the reply
 	 */
 	CompletableFuture<Envelope.Builder> handleRequest(EligibilityRequest request, Duration remaining) {
-		return this.service.ask(request.getStep(), request.getWorkersList(), remaining)
+		return this.service.requestTickets(request.getStep(), request.getWorkersList(), remaining)
 			.thenApply((tickets) -> Envelope.newBuilder()
 				.setEligibilityReply(EligibilityReply.newBuilder().putAllTickets(tickets)));
 	}
--- a/monsoonrelay-scheduler/src/main/java/org/monsoonrelay/scheduler/pool/PoolScheduler.java
+++ b/monsoonrelay-scheduler/src/main/java/org/monsoonrelay/scheduler/pool/PoolScheduler.java
@@ -34,11 +34,11 @@
 import org.monsoonrelay.model.host.HostAddress;
 import org.monsoonrelay.model.submission.QueueConfiguration;
 import org.monsoonrelay.model.submission.Submission;
-import org.monsoonrelay.platform.ConfigurationFeed;
-import org.monsoonrelay.platform.HostListFeed;
+import org.monsoonrelay.platform.ConfigurationFollower;
 import org.monsoonrelay.platform.HostSettings;
-import org.monsoonrelay.platform.HttpEligibility;
-import org.monsoonrelay.platform.HttpWorkerOrders;
+import org.monsoonrelay.platform.HttpEligibilityClient;
+import org.monsoonrelay.platform.HttpWorkerClient;
+import org.monsoonrelay.platform.WorkerListFollower;
 
 /**
  * The scheduler of a host: composition only. It stands ready to own the pool and makes
@@ -74,7 +74,7 @@
 
 	private final UnreadableRows unreadable;
 
-	private final ConfigurationFeed configuration;
+	private final ConfigurationFollower configuration;
 
 	private final PeerEligibilityClient eligibility;
 
@@ -105,15 +105,15 @@
 			DecisionLog log, UnreadableRows unreadable) {
 		this.settings = settings;
 		this.unreadable = unreadable;
-		this.configuration = new ConfigurationFeed(table, this.control, log, this::configurationChanged,
+		this.configuration = new ConfigurationFollower(table, this.control, log, this::configurationChanged,
 				this.unreadable);
 		this.self = new HostRecord(settings.host(), settings.failureDomain(), self.address().toString(), self.session(),
 				settings.processors(), settings.linkMbps(), false);
 		this.registry = new HostRegistry(table, this.control, this.self, new HostListener(), unreadable);
-		HttpEligibility service = new HttpEligibility(settings.eligibilityAddress()
+		HttpEligibilityClient service = new HttpEligibilityClient(settings.eligibilityAddress()
 			.orElseThrow(() -> new SettingsException("the setting eligibility is missing")));
 		this.eligibility = new PeerEligibilityClient(settings.host(), service, network, this.registry::address);
-		this.dependencies = new PoolDependencies(table, new HttpWorkerOrders(), this.eligibility, this.control,
+		this.dependencies = new PoolDependencies(table, new HttpWorkerClient(), this.eligibility, this.control,
 				PoolClock.SYSTEM, log, unreadable);
 		this.peers = new ThrottledPeerNotifier(
 				new NetworkPeerNotifier(network, self.address(), this.registry::addresses), this.control,
@@ -148,7 +148,7 @@
 	 * The configuration in force, which is followed all the while.
 	 * @return the feed
 	 */
-	public ConfigurationFeed configuration() {
+	public ConfigurationFollower configuration() {
 		return this.configuration;
 	}
 
@@ -213,11 +213,11 @@
 	private void becomeOwner(TakeOver takeOver) {
 		PoolOwner owner = new PoolOwner(this.dependencies, this.jobs, takeOver, this.peers, this::ownershipEnded);
 		Term newTerm = new Term(owner,
-				new HostListFeed(this.dependencies.table(), this.control, owner::updateWorkers, this.unreadable));
+				new WorkerListFollower(this.dependencies.table(), this.control, owner::updateWorkers, this.unreadable));
 		this.term = Optional.of(newTerm);
 		owner.updateHosts(this.registry.hostNames());
-		if (this.configuration.inForce().version() > 0) {
-			owner.configure(this.configuration.inForce());
+		if (this.configuration.activeConfiguration().version() > 0) {
+			owner.configure(this.configuration.activeConfiguration());
 		}
 		owner.start();
 		newTerm.hostList().start();
@@ -285,7 +285,7 @@
 	}
 
 	// Only an owner reads the lists of workers and hosts.
-	private record Term(PoolOwner owner, HostListFeed hostList) {
+	private record Term(PoolOwner owner, WorkerListFollower hostList) {
 
 	}
 
