--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/PlacementContext.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/PlacementContext.java
@@ -53,7 +53,7 @@
 		return !this.policy.needsEligibility() || this.eligibility.isEligible(worker.id());
 	}
 
-	boolean isEligibleOrNew(PoolWorker worker) {
+	boolean isEligibleOrUnqueried(PoolWorker worker) {
 		return isEligible(worker) || !this.eligibility.wasQueried(worker.id());
 	}
 
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/EligibilityCandidatesTests.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/EligibilityCandidatesTests.java
@@ -19,7 +19,7 @@
 
 	private static final Resources SIZE = new Resources(4000, 100, 0);
 
-	private static PlacementContext turn(String job, int tasks) {
+	private static PlacementContext context(String job, int tasks) {
 		StepSpec spec = new StepSpec(tasks, SIZE, 500, List.of(), false, false, "", "", 0, false, false, false, false);
 		QueuePolicy policy = new QueuePolicy("q", "s", 0, 3, 2, 0, null);
 		Submission submission = new Submission(job, policy, "", List.of(spec), Timetable.AT_ONCE, 0);
@@ -50,57 +50,58 @@
 	}
 
 	@Test
-	void areAllOfASmallPool() {
+	void includeAllWorkersOfASmallPool() {
 		List<PoolWorker> pool = workers(33);
-		assertThat(EligibilityCandidates.selectInitial(turn("a", 2), pool)).isEqualTo(pool);
+		assertThat(EligibilityCandidates.selectInitial(context("a", 2), pool)).isEqualTo(pool);
 	}
 
 	@Test
-	void areThoseWithRoomOfALargeOne() {
+	void areThoseWithFreeCapacityInALargePool() {
 		List<PoolWorker> pool = workers(200);
 		pool.subList(0, 150).forEach(EligibilityCandidatesTests::fill);
-		assertThat(EligibilityCandidates.selectInitial(turn("a", 4), pool))
+		assertThat(EligibilityCandidates.selectInitial(context("a", 4), pool))
 			.hasSize(EligibilityCandidates.DEFAULT_REQUEST_SIZE)
 			.isSubsetOf(pool.subList(150, 200));
 	}
 
 	@Test
-	void areOthersIfTheseHaveRoomAndThoseKnownHaveNone() {
+	void includeOthersIfTheyHaveCapacityAndEligibleOnesHaveNone() {
 		List<PoolWorker> pool = openWorkers(200);
 		pool.subList(0, 40).forEach(EligibilityCandidatesTests::fill);
-		assertThat(
-				EligibilityCandidates.selectAdditional(turn("a", 4), pool.subList(0, 40), pool.subList(40, 200), false))
+		assertThat(EligibilityCandidates.selectAdditional(context("a", 4), pool.subList(0, 40), pool.subList(40, 200),
+				false))
 			.isNotEmpty();
 	}
 
 	@Test
-	void areNoOthersForAStepThatCanWaitForThoseKnown() {
+	void excludeOthersForAStepThatCanWaitForEligibleOnes() {
 		List<PoolWorker> pool = openWorkers(200);
 		pool.subList(0, 40).forEach(EligibilityCandidatesTests::fill);
-		assertThat(
-				EligibilityCandidates.selectAdditional(turn("a", 4), pool.subList(0, 40), pool.subList(40, 200), true))
+		assertThat(EligibilityCandidates.selectAdditional(context("a", 4), pool.subList(0, 40), pool.subList(40, 200),
+				true))
 			.isEmpty();
 	}
 
 	@Test
-	void areOthersForAStepThatCanWaitIfThoseKnownAreTooFew() {
+	void includeOthersForAStepThatCanWaitIfEligibleOnesAreTooFew() {
 		List<PoolWorker> pool = openWorkers(200);
-		assertThat(EligibilityCandidates.selectAdditional(turn("a", 4), pool.subList(0, 2), pool.subList(2, 200), true))
+		assertThat(
+				EligibilityCandidates.selectAdditional(context("a", 4), pool.subList(0, 2), pool.subList(2, 200), true))
 			.isNotEmpty();
 	}
 
 	@Test
-	void areMoreForAWiderStep() {
-		assertThat(EligibilityCandidates.selectInitial(turn("a", 60), workers(200))).hasSize(60);
-		assertThat(EligibilityCandidates.selectInitial(turn("a", 500), workers(200)))
+	void includeMoreWorkersForAWiderStep() {
+		assertThat(EligibilityCandidates.selectInitial(context("a", 60), workers(200))).hasSize(60);
+		assertThat(EligibilityCandidates.selectInitial(context("a", 500), workers(200)))
 			.hasSize(EligibilityCandidates.MAX_REQUEST_SIZE);
 	}
 
 	@Test
 	void differFromStepToStep() {
 		List<PoolWorker> pool = workers(200);
-		assertThat(EligibilityCandidates.selectInitial(turn("a", 2), pool))
-			.isNotEqualTo(EligibilityCandidates.selectInitial(turn("b", 2), pool));
+		assertThat(EligibilityCandidates.selectInitial(context("a", 2), pool))
+			.isNotEqualTo(EligibilityCandidates.selectInitial(context("b", 2), pool));
 	}
 
 }
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/EligibilityHostSelectorTests.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/EligibilityHostSelectorTests.java
@@ -16,7 +16,7 @@
 
 	private static final EligibilityTimes SHORT = new EligibilityTimes(9, 1, 2000);
 
-	private static final EligibilityTimes MIDDLE = new EligibilityTimes(69, 1, 2000);
+	private static final EligibilityTimes MEDIUM = new EligibilityTimes(69, 1, 2000);
 
 	private static final EligibilityTimes LONG = new EligibilityTimes(699, 1, 2000);
 
@@ -25,136 +25,136 @@
 	private long nowNanos;
 
 	@BeforeEach
-	void nameHosts() {
+	void setUpHosts() {
 		this.hosts.updateHosts(List.of("self", "b", "c", "d", "e", "f"));
 		this.hosts.addKind(SHORT);
 		this.hosts.addKind(LONG);
 	}
 
-	private String choose(EligibilityTimes kind) {
+	private String select(EligibilityTimes kind) {
 		String host = this.hosts.select(kind, kind.costMillis(1), this.nowNanos).orElse("none");
 		this.hosts.callStarted(host, kind, kind.costMillis(1), this.nowNanos);
 		return host;
 	}
 
-	private void end(String host, EligibilityTimes kind) {
+	private void endCall(String host, EligibilityTimes kind) {
 		this.hosts.callEnded(host, kind.costMillis(1));
 	}
 
-	// Calls of a kind that end as they come, so that they are known and no host is busy.
-	private void observe(EligibilityTimes kind, int count, long spacingMillis) {
+	// Makes calls that end at once: their load is recorded and no host stays busy.
+	private void observeCalls(EligibilityTimes kind, int count, long spacingMillis) {
 		for (int i = 0; i < count; i++) {
 			this.nowNanos += TimeUnit.MILLISECONDS.toNanos(spacingMillis);
-			end(choose(kind), kind);
+			endCall(select(kind), kind);
 		}
 	}
 
-	private List<String> chooseWhileThereAre(EligibilityTimes kind) {
-		return Stream.generate(() -> choose(kind)).takeWhile((host) -> !host.equals("none")).toList();
+	private List<String> selectUntilNoneIsAvailable(EligibilityTimes kind) {
+		return Stream.generate(() -> select(kind)).takeWhile((host) -> !host.equals("none")).toList();
 	}
 
 	@Test
 	void longCallsLeaveHalfOfTheHostsToShortOnes() {
-		assertThat(List.of(choose(LONG), choose(LONG), choose(LONG), choose(LONG))).containsExactly("f", "e", "d",
+		assertThat(List.of(select(LONG), select(LONG), select(LONG), select(LONG))).containsExactly("f", "e", "d",
 				"none");
-		assertThat(choose(SHORT)).isEqualTo("self");
+		assertThat(select(SHORT)).isEqualTo("self");
 	}
 
 	@Test
 	void shortCallsShareAHostUpToALimit() {
 		for (int i = 0; i < 5; i++) {
-			assertThat(choose(SHORT)).isEqualTo("self");
+			assertThat(select(SHORT)).isEqualTo("self");
 		}
-		assertThat(choose(SHORT)).isEqualTo("b");
+		assertThat(select(SHORT)).isEqualTo("b");
 	}
 
 	@Test
-	void aHostThatFailedIsLeftOutForAWhile() {
+	void aFailedHostIsAvoidedForAWhile() {
 		this.hosts.callFailed("self", this.nowNanos);
-		assertThat(choose(SHORT)).isEqualTo("b");
+		assertThat(select(SHORT)).isEqualTo("b");
 		this.nowNanos += TimeUnit.MILLISECONDS.toNanos(1501);
-		assertThat(choose(SHORT)).isEqualTo("self");
+		assertThat(select(SHORT)).isEqualTo("self");
 	}
 
 	@Test
-	void repeatedFailuresKeepNoHostOutForLongerThanThreeSeconds() {
+	void repeatedFailuresAvoidAHostForAtMostThreeSeconds() {
 		this.hosts.updateHosts(List.of("self", "f"));
 		for (int i = 0; i < 10; i++) {
 			this.hosts.callFailed("f", this.nowNanos);
 		}
 		this.nowNanos += TimeUnit.MILLISECONDS.toNanos(3001);
-		assertThat(choose(LONG)).isEqualTo("f");
+		assertThat(select(LONG)).isEqualTo("f");
 	}
 
 	@Test
-	void aHostThatStartedAnewIsUsedAtOnce() {
+	void aRestartedHostIsUsedAtOnce() {
 		this.hosts.callFailed("self", this.nowNanos);
 		this.hosts.hostRestarted("self");
-		assertThat(choose(SHORT)).isEqualTo("self");
+		assertThat(select(SHORT)).isEqualTo("self");
 	}
 
 	@Test
 	void allHostsAreTriedWhenAllHaveFailed() {
 		List.of("self", "b", "c", "d", "e", "f").forEach((host) -> this.hosts.callFailed(host, this.nowNanos));
-		assertThat(choose(LONG)).isEqualTo("f");
+		assertThat(select(LONG)).isEqualTo("f");
 	}
 
 	@Test
-	void aHostWhoseCallsHaveAllEndedHasTimeAgain() {
+	void aHostWhoseCallsHaveAllEndedIsAvailableAgain() {
 		this.hosts.updateHosts(List.of("self"));
 		this.hosts.callStarted("self", SHORT, 0.1, this.nowNanos);
 		this.hosts.callStarted("self", SHORT, 0.2, this.nowNanos);
 		this.hosts.callEnded("self", 0.1);
 		this.hosts.callEnded("self", 0.2);
-		assertThat(choose(LONG)).isEqualTo("self");
+		assertThat(select(LONG)).isEqualTo("self");
 	}
 
 	@Test
 	void aSingleHostMakesAllCalls() {
 		this.hosts.updateHosts(List.of("self"));
-		assertThat(choose(LONG)).isEqualTo("self");
+		assertThat(select(LONG)).isEqualTo("self");
 	}
 
 	@Nested
 	class OnceTheLoadIsKnown {
 
 		@Test
-		void longCallsLeaveToShortOnesWhatTheseNeed() {
-			// Three tenths of a host, which is staffed with 1.4.
-			observe(SHORT, 400, 33);
-			assertThat(chooseWhileThereAre(LONG)).containsExactly("f", "e", "d", "c");
+		void longCallsLeaveShortCallsTheHostsTheyNeed() {
+			// A mean load of 0.3 hosts, for which square-root staffing reserves 1.4.
+			observeCalls(SHORT, 400, 33);
+			assertThat(selectUntilNoneIsAvailable(LONG)).containsExactly("f", "e", "d", "c");
 		}
 
 		@Test
-		void longCallsLeaveHalfOfTheHostsHoweverMuchShortOnesTake() {
-			observe(SHORT, 4000, 2);
-			assertThat(chooseWhileThereAre(LONG)).containsExactly("f", "e", "d");
+		void longCallsUseHalfOfTheHostsHoweverManyShortCallsCome() {
+			observeCalls(SHORT, 4000, 2);
+			assertThat(selectUntilNoneIsAvailable(LONG)).containsExactly("f", "e", "d");
 		}
 
 		@Test
 		void longCallsUseNearlyAllOfManyHosts() {
 			List<String> many = IntStream.range(0, 47).mapToObj((i) -> "h" + i).toList();
 			EligibilityHostSelectorTests.this.hosts.updateHosts(many);
-			// Two and a half hosts, which are staffed with 5.7.
-			observe(SHORT, 3000, 4);
-			assertThat(chooseWhileThereAre(LONG)).hasSize(41);
+			// A mean load of 2.5 hosts, for which square-root staffing reserves 5.7.
+			observeCalls(SHORT, 3000, 4);
+			assertThat(selectUntilNoneIsAvailable(LONG)).hasSize(41);
 		}
 
 		@Test
-		void oneHostAtLeastIsLeftToCallsThatHaveNotComeForLong() {
-			observe(SHORT, 10, 10);
+		void atLeastOneHostIsReservedForCallsThatHaveNotComeRecently() {
+			observeCalls(SHORT, 10, 10);
 			EligibilityHostSelectorTests.this.nowNanos += TimeUnit.MINUTES.toNanos(1);
-			assertThat(chooseWhileThereAre(LONG)).containsExactly("f", "e", "d", "c", "b");
-			assertThat(choose(SHORT)).isEqualTo("self");
+			assertThat(selectUntilNoneIsAvailable(LONG)).containsExactly("f", "e", "d", "c", "b");
+			assertThat(select(SHORT)).isEqualTo("self");
 		}
 
 		@Test
-		void callsOfAMiddleKindLeaveTheSameToShortOnes() {
-			EligibilityHostSelectorTests.this.hosts.addKind(MIDDLE);
-			observe(SHORT, 400, 33);
-			assertThat(chooseWhileThereAre(LONG)).hasSize(4);
-			assertThat(choose(MIDDLE)).isEqualTo("none");
-			assertThat(choose(SHORT)).isEqualTo("self");
+		void callsOfMediumCostLeaveTheSameHostsToShortCalls() {
+			EligibilityHostSelectorTests.this.hosts.addKind(MEDIUM);
+			observeCalls(SHORT, 400, 33);
+			assertThat(selectUntilNoneIsAvailable(LONG)).hasSize(4);
+			assertThat(select(MEDIUM)).isEqualTo("none");
+			assertThat(select(SHORT)).isEqualTo("self");
 		}
 
 	}
@@ -163,14 +163,14 @@
 	class Precedence {
 
 		@Test
-		void goesToCheapKindsThatHardlyTakeFromTheOthers() {
-			observe(SHORT, 400, 33);
+		void goesToCheapKindsThatNeedFewHosts() {
+			observeCalls(SHORT, 400, 33);
 			assertThat(precedence(SHORT)).isLessThan(precedence(LONG));
 		}
 
 		@Test
 		void isTheSameForKindsThatTakeMoreThanHalfOfTheHosts() {
-			observe(SHORT, 4000, 4);
+			observeCalls(SHORT, 4000, 4);
 			assertThat(precedence(SHORT)).isEqualTo(precedence(LONG));
 		}
 
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/EligibilityTrackerTests.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/EligibilityTrackerTests.java
@@ -24,86 +24,86 @@
 
 	private final VirtualTime time = new VirtualTime();
 
-	private final List<String> asked = new ArrayList<>();
+	private final List<String> requestedJobs = new ArrayList<>();
 
 	private final EligibilityTracker tracker = new EligibilityTracker((host, step, workers, timeout) -> {
-		this.asked.add(step.job());
+		this.requestedJobs.add(step.job());
 		return new CompletableFuture<Map<String, String>>();
 	}, this.time, this.time.clock(), DecisionLog.NONE, (step) -> {
 	});
 
-	private void ask(String job, EligibilityTimes times, int rank) {
+	private void request(String job, EligibilityTimes times, int rank) {
 		this.tracker.request(new StepKey(job, 0, 0), times, () -> new EligibilityRequestDraft(List.of("w"), () -> {
 		}), rank);
 	}
 
 	@Test
-	void theQueuesOrderDecidesAmongLongQuestionsWhateverTheyCost() {
+	void longRequestsAreSentInQueueOrderWhateverTheirCost() {
 		this.tracker.updateHosts(List.of("only"));
-		ask("second", LONG, 1);
-		ask("first", LONGEST, 0);
+		request("second", LONG, 1);
+		request("first", LONGEST, 0);
 		this.tracker.sendRequests();
-		assertThat(this.asked).containsExactly("first");
+		assertThat(this.requestedJobs).containsExactly("first");
 	}
 
 	@Test
-	void anOpenQuestionFollowsItsStepsPlaceInTheQueue() {
+	void aQueuedRequestFollowsItsStepsPositionInTheQueue() {
 		this.tracker.updateHosts(List.of("only"));
-		ask("overtaken", LONG, 0);
-		ask("urgent", LONGEST, 1);
-		ask("urgent", LONGEST, 0);
-		ask("overtaken", LONG, 1);
+		request("overtaken", LONG, 0);
+		request("urgent", LONGEST, 1);
+		request("urgent", LONGEST, 0);
+		request("overtaken", LONG, 1);
 		this.tracker.sendRequests();
-		assertThat(this.asked).containsExactly("urgent");
+		assertThat(this.requestedJobs).containsExactly("urgent");
 	}
 
 	@Test
-	void shortQuestionsGoBeforeLongOnes() {
+	void shortRequestsAreSentBeforeLongOnes() {
 		this.tracker.updateHosts(List.of("only"));
-		ask("long", LONG, 0);
-		ask("short", SHORT, 1);
+		request("long", LONG, 0);
+		request("short", SHORT, 1);
 		this.tracker.sendRequests();
-		assertThat(this.asked).containsExactly("short");
+		assertThat(this.requestedJobs).containsExactly("short");
 	}
 
 	@Nested
 	class Drafts {
 
-		private static final EligibilityTimes NEARLY_TOO_LONG_TO_WAIT = new EligibilityTimes(
+		private static final EligibilityTimes BARELY_SHORT = new EligibilityTimes(
 				EligibilityHostSelector.SHORT_CALL_MILLIS - 2, 1, 2000);
 
 		private int drafts;
 
 		private int sent;
 
-		private void ask(int workers) {
+		private void request(int workers) {
 			List<String> named = IntStream.range(0, workers).mapToObj((i) -> "w" + i).toList();
-			EligibilityTrackerTests.this.tracker.request(new StepKey("drafted", 0, 0), NEARLY_TOO_LONG_TO_WAIT, () -> {
+			EligibilityTrackerTests.this.tracker.request(new StepKey("drafted", 0, 0), BARELY_SHORT, () -> {
 				this.drafts++;
 				return new EligibilityRequestDraft(named, () -> this.sent++);
 			}, 9);
 		}
 
-		private void occupyTheOnlyHost() {
+		private void occupyOnlyHost() {
 			EligibilityTrackerTests.this.tracker.updateHosts(List.of("only"));
-			EligibilityTrackerTests.this.ask("short", SHORT, 0);
+			EligibilityTrackerTests.this.request("short", SHORT, 0);
 			EligibilityTrackerTests.this.tracker.sendRequests();
 		}
 
 		@Test
-		void areNotWorkedOutWhileNoHostHasTime() {
+		void areNotCreatedWhileNoHostIsAvailable() {
 			EligibilityTrackerTests.this.tracker.updateHosts(List.of("only"));
-			EligibilityTrackerTests.this.ask("long", LONG, 0);
+			EligibilityTrackerTests.this.request("long", LONG, 0);
 			EligibilityTrackerTests.this.tracker.sendRequests();
-			ask(1);
+			request(1);
 			EligibilityTrackerTests.this.tracker.sendRequests();
 			assertThat(this.drafts).isZero();
 		}
 
 		@Test
-		void countAsSentOnlyOnceAHostHasTimeForAllThatTheyName() {
-			occupyTheOnlyHost();
-			ask(20);
+		void countAsSentOnlyOnceAHostIsAvailableForAllTheirWorkers() {
+			occupyOnlyHost();
+			request(20);
 			EligibilityTrackerTests.this.tracker.sendRequests();
 			EligibilityTrackerTests.this.tracker.sendRequests();
 			assertThat(this.sent).isZero();
@@ -112,18 +112,18 @@
 		}
 
 		@Test
-		void areSentIfAHostHasTime() {
-			occupyTheOnlyHost();
-			ask(1);
+		void areSentIfAHostIsAvailable() {
+			occupyOnlyHost();
+			request(1);
 			EligibilityTrackerTests.this.tracker.sendRequests();
 			assertThat(this.sent).isEqualTo(1);
-			assertThat(EligibilityTrackerTests.this.asked).contains("drafted");
+			assertThat(EligibilityTrackerTests.this.requestedJobs).contains("drafted");
 		}
 
 		@Test
-		void thatNameNobodyAreDropped() {
+		void withoutWorkersAreDropped() {
 			EligibilityTrackerTests.this.tracker.updateHosts(List.of("only"));
-			ask(0);
+			request(0);
 			EligibilityTrackerTests.this.tracker.sendRequests();
 			assertThat(EligibilityTrackerTests.this.tracker.queuedCount()).isZero();
 			assertThat(this.sent).isZero();
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/FewHostsLoadTests.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/FewHostsLoadTests.java
@@ -10,11 +10,12 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Plays the load of a salon chain with 260 workers, of whose hosts a quarter is left to
- * ask for eligibility, with a burst of confirmations and one of rosters. While half of
- * the hosts were open to dear calls alone, the other half idled: of what all jobs were
- * owed 0.70 was earned, of rosters 0.46, and 222 jobs stood still beside free workers;
- * 0.95, 1.00 and 2 since hosts are kept for cheap calls by the load seen.
+ * Simulates the load of a salon chain on 260 workers, with only a quarter of the hosts
+ * left for eligibility calls, and with a burst of confirmations and one of rosters.
+ * Guards against expensive calls waiting while hosts reserved for cheap calls are idle:
+ * with a fixed half of the hosts for each, jobs earned 0.70 of their value, rosters 0.46,
+ * and 222 jobs starved beside free workers. With hosts reserved by measured load these
+ * figures are 0.95, 1.00 and 2.
  */
 class FewHostsLoadTests {
 
@@ -32,17 +33,17 @@
 			new Spread(17, 0.8, 100), new Spread(2200, 0.5, 5400), new Spread(5500, 0.45, 16_000),
 			new Spread(16_000, 0.6, 47_000), 0, 0.9, 0.45, 182, 2.6);
 
-	private static final long PLAY_MILLIS = 20_000;
+	private static final long ARRIVAL_MILLIS = 20_000;
 
 	@Test
-	void dearCallsUseTheHostsThatCheapOnesDoNotNeed() {
+	void expensiveCallsUseTheHostsThatCheapOnesDoNotNeed() {
 		List<LoadClass> classes = List.of(CONFIRMATIONS.withBurst(new Burst(4000, 8000, 2.2)),
 				ROSTERS.withBurst(new Burst(12_000, 16_000, 1.7)), VOUCHERS);
-		LoadSimulation.Result served = new LoadSimulation(1, CELL, classes, PlacementRules.DEFAULT).run(PLAY_MILLIS);
-		assertThat(served.faults()).isEmpty();
-		assertThat(served.earnedShare("rosters")).isGreaterThan(0.95);
-		assertThat(served.earnedShare("confirmations")).isGreaterThan(0.99);
-		assertThat(served.earnedShare()).isGreaterThan(0.9);
+		LoadSimulation.Result result = new LoadSimulation(1, CELL, classes, PlacementRules.DEFAULT).run(ARRIVAL_MILLIS);
+		assertThat(result.faults()).isEmpty();
+		assertThat(result.earnedShare("rosters")).isGreaterThan(0.95);
+		assertThat(result.earnedShare("confirmations")).isGreaterThan(0.99);
+		assertThat(result.earnedShare()).isGreaterThan(0.9);
 	}
 
 }
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/GangEligibilityTests.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/GangEligibilityTests.java
@@ -9,29 +9,30 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Whom gangs ask about, and what room is kept for them meanwhile.
+ * Which workers an eligibility request of a gang queries, and which capacity is held for
+ * the gang meanwhile.
  */
 class GangEligibilityTests {
 
 	private static final long VALID_MILLIS = 2500;
 
-	/** A step that found no room searches all workers again within this time. */
-	private static final long SEARCH_MILLIS = 300;
+	/** A step that found no capacity searches all workers again within this time. */
+	private static final long MAX_SEARCH_DELAY_MILLIS = 300;
 
 	private static final EligibilityTimes LONG = new EligibilityTimes(500, 1, VALID_MILLIS);
 
 	@Nested
-	class Workers {
+	class QueriedWorkers {
 
 		@Test
-		void knownAsAllowedAreAskedAboutInsteadOfUnknownOnes() {
+		void areKnownEligibleOnesInsteadOfUnknownOnes() {
 			ManualEligibilityPool pool = new ManualEligibilityPool(EligibilityCandidates.DEFAULT_REQUEST_SIZE + 5);
 			pool.occupyAllWorkers();
 			pool.submitGang("gang", 2, LONG);
-			List<String> allowed = pool.reply("gang");
+			List<String> eligible = pool.reply("gang");
 			pool.runFor(VALID_MILLIS);
 			pool.freeAllWorkers();
-			assertThat(pool.requestedWorkers("gang")).isNotEmpty().isSubsetOf(allowed);
+			assertThat(pool.requestedWorkers("gang")).isNotEmpty().isSubsetOf(eligible);
 		}
 
 	}
@@ -43,7 +44,7 @@
 				EligibilityCandidates.DEFAULT_REQUEST_SIZE);
 
 		@Test
-		void areAskedAboutIfTheyHaveRoomAndThoseKnownAsAllowedHaveNone() {
+		void areQueriedIfTheyHaveCapacityAndEligibleOnesHaveNone() {
 			this.pool.occupyAllWorkers();
 			this.pool.submitGang("gang", 2, LONG);
 			this.pool.reply("gang");
@@ -52,17 +53,17 @@
 		}
 
 		@Test
-		void areAskedAboutForTasksThatStartOneByOneAsWell() {
+		void areQueriedForTasksThatStartOneByOneAsWell() {
 			this.pool.occupyAllWorkers();
-			this.pool.submitSingles("singles", 2, LONG);
+			this.pool.submitIndependentTasks("singles", 2, LONG);
 			this.pool.reply("singles");
 			List<String> joined = this.pool.addIdleWorkers(6);
-			this.pool.runFor(SEARCH_MILLIS);
+			this.pool.runFor(MAX_SEARCH_DELAY_MILLIS);
 			assertThat(this.pool.requestedWorkers("singles")).isNotEmpty().isSubsetOf(joined);
 		}
 
 		@Test
-		void areNotAskedAboutWhileTheyHaveNoRoom() {
+		void areNotQueriedWhileTheyHaveNoCapacity() {
 			ManualEligibilityPool larger = new ManualEligibilityPool(EligibilityCandidates.DEFAULT_REQUEST_SIZE + 6);
 			larger.occupyAllWorkers();
 			larger.submitGang("gang", 2, LONG);
@@ -74,10 +75,10 @@
 	}
 
 	@Nested
-	class Room {
+	class HeldCapacity {
 
 		@Test
-		void isNotKeptForAGangWhoseQuestionWaitsForAHost() {
+		void isNotReservedForAGangWhoseRequestWaitsForAHost() {
 			ManualEligibilityPool pool = new ManualEligibilityPool(4);
 			pool.occupyAllWorkers();
 			pool.submitGang("gang", 2, LONG);
@@ -93,7 +94,7 @@
 		}
 
 		@Test
-		void isNotPlannedForAQuestionThatIsNotNeededAnyMore() {
+		void isNotPlannedForARequestThatIsNoLongerNeeded() {
 			ManualEligibilityPool pool = new ManualEligibilityPool(4);
 			pool.occupyAllWorkers();
 			pool.submitGang("gang", 2, LONG);
@@ -108,7 +109,7 @@
 		}
 
 		@Test
-		void isKeptForAGangWhoseQuestionIsOnItsWay() {
+		void isReservedForAGangWhoseRequestIsPending() {
 			ManualEligibilityPool pool = new ManualEligibilityPool(4);
 			pool.occupyAllWorkers();
 			pool.submitGang("gang", 2, LONG);
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/GangReservationsTests.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/GangReservationsTests.java
@@ -21,17 +21,17 @@
 
 	private static final Resources SIZE = new Resources(4000, 100, 0);
 
-	private static final long NO_TIME = 0;
+	private static final long NO_SLACK = 0;
 
 	private static final ToLongFunction<PoolWorker> SOON_EMPTY = (worker) -> 1000;
 
-	// Each holds four tasks of the size.
+	// Each worker has capacity for four tasks.
 	private final List<PoolWorker> workers = IntStream.range(0, 6)
 		.mapToObj((i) -> new PoolWorker(
 				new WorkerInfo("w" + i, "s", "a:1", "d", new Resources(16_000, 800, 0), List.of(), "r", false, 0)))
 		.toList();
 
-	private final GangReservations room = new GangReservations(GangReservations.SLACK_THRESHOLD_MILLIS, 4);
+	private final GangReservations reservations = new GangReservations(GangReservations.SLACK_THRESHOLD_MILLIS, 4);
 
 	GangReservationsTests() {
 		this.workers.forEach((worker) -> {
@@ -56,53 +56,58 @@
 		}
 	}
 
-	private List<String> reserve(PlacementContext gang, long spareMillis) {
-		return this.room.reserve(gang, this.workers, spareMillis, SOON_EMPTY).stream().map(PoolWorker::id).toList();
+	private List<String> reserve(PlacementContext gang, long slackMillis) {
+		return this.reservations.reserve(gang, this.workers, slackMillis, SOON_EMPTY)
+			.stream()
+			.map(PoolWorker::id)
+			.toList();
 	}
 
 	@Nested
-	class Reserving {
+	class Reservation {
 
 		@Test
-		void takesAsFewWorkersAsHoldTheGangTheRoomiestFirst() {
+		void takesTheFewestWorkersThatHoldTheGangThoseWithMostCapacityFirst() {
 			occupy(0, 4);
 			occupy(1, 3);
 			occupy(2, 1);
 			occupy(3, 2);
 			occupy(4, 4);
 			occupy(5, 4);
-			assertThat(reserve(gang("a", 7), NO_TIME)).containsExactly("w2", "w3");
+			assertThat(reserve(gang("a", 7), NO_SLACK)).containsExactly("w2", "w3");
 		}
 
 		@Test
-		void leavesReservedWorkersToTheirGang() {
-			reserve(gang("a", 8), NO_TIME);
-			assertThat(reserve(gang("b", 8), NO_TIME)).containsExactly("w2", "w3");
-			assertThat(openToGangs()).containsExactly("w4", "w5");
+		void excludesWorkersReservedForAnotherGang() {
+			reserve(gang("a", 8), NO_SLACK);
+			assertThat(reserve(gang("b", 8), NO_SLACK)).containsExactly("w2", "w3");
+			assertThat(availableToGangs()).containsExactly("w4", "w5");
 		}
 
 		@Test
-		void waitsUntilTheWorkersWouldBeEmptyTooLate() {
+		void isMadeOnlyOnceTheWorkersWouldBeEmptyTooLate() {
 			assertThat(reserve(gang("a", 8), 1001)).isEmpty();
 			assertThat(reserve(gang("a", 8), 1000)).hasSize(2);
 		}
 
 		@Test
-		void takesNoMoreThanItsShareOfThePool() {
-			assertThat(reserve(gang("a", 20), NO_TIME)).isEmpty();
-			reserve(gang("b", 16), NO_TIME);
-			assertThat(reserve(gang("c", 1), NO_TIME)).isEmpty();
+		void takesNoMoreThanTheMaximumShareOfThePool() {
+			assertThat(reserve(gang("a", 20), NO_SLACK)).isEmpty();
+			reserve(gang("b", 16), NO_SLACK);
+			assertThat(reserve(gang("c", 1), NO_SLACK)).isEmpty();
 		}
 
 		@Test
-		void takesNothingForAGangThatThePoolCannotHold() {
-			GangReservations all = new GangReservations(GangReservations.SLACK_THRESHOLD_MILLIS, 6);
-			assertThat(all.reserve(gang("a", 25), GangReservationsTests.this.workers, NO_TIME, SOON_EMPTY)).isEmpty();
+		void isNotMadeForAGangThatThePoolCannotHold() {
+			GangReservations largerReservations = new GangReservations(GangReservations.SLACK_THRESHOLD_MILLIS, 6);
+			assertThat(
+					largerReservations.reserve(gang("a", 25), GangReservationsTests.this.workers, NO_SLACK, SOON_EMPTY))
+				.isEmpty();
 		}
 
-		private List<String> openToGangs() {
+		private List<String> availableToGangs() {
 			return GangReservationsTests.this.workers.stream()
-				.filter(GangReservationsTests.this.room::isAvailableToGangs)
+				.filter(GangReservationsTests.this.reservations::isAvailableToGangs)
 				.map(PoolWorker::id)
 				.toList();
 		}
@@ -113,24 +118,24 @@
 	class OtherSteps {
 
 		private boolean mayUse(PoolWorker worker, long latestStartMillis) {
-			PlacementContext turn = gang("c", 1);
-			QueueEntry step = new QueueEntry(turn.step(), 0, 0, latestStartMillis, 0);
-			return GangReservationsTests.this.room.availableTo(step, 0).test(worker);
+			PlacementContext context = gang("c", 1);
+			QueueEntry entry = new QueueEntry(context.step(), 0, 0, latestStartMillis, 0);
+			return GangReservationsTests.this.reservations.availableTo(entry, 0).test(worker);
 		}
 
 		@Test
-		void leaveReservedWorkersAloneHoweverUrgentTheyAre() {
-			reserve(gang("a", 4), NO_TIME);
+		void mayNotUseReservedWorkersHoweverUrgentTheyAre() {
+			reserve(gang("a", 4), NO_SLACK);
 			assertThat(mayUse(GangReservationsTests.this.workers.get(0), 0)).isFalse();
 			assertThat(mayUse(GangReservationsTests.this.workers.get(1), 0)).isTrue();
 		}
 
 		@Test
-		void leaveKeptWorkersAloneWhileTheyHaveTime() {
-			PoolWorker kept = GangReservationsTests.this.workers.get(0);
-			GangReservationsTests.this.room.setAside(kept);
-			assertThat(mayUse(kept, GangReservations.SLACK_THRESHOLD_MILLIS + 1)).isFalse();
-			assertThat(mayUse(kept, GangReservations.SLACK_THRESHOLD_MILLIS)).isTrue();
+		void mayNotUseWorkersSetAsideWhileTheyHaveSlack() {
+			PoolWorker setAside = GangReservationsTests.this.workers.get(0);
+			GangReservationsTests.this.reservations.setAside(setAside);
+			assertThat(mayUse(setAside, GangReservations.SLACK_THRESHOLD_MILLIS + 1)).isFalse();
+			assertThat(mayUse(setAside, GangReservations.SLACK_THRESHOLD_MILLIS)).isTrue();
 		}
 
 	}
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/LargePoolLoadTests.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/LargePoolLoadTests.java
@@ -9,19 +9,20 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Plays the load of a salon chain on a cell of 245 workers, a fifth above the usual.
+ * Simulates the load of a salon chain on a cell of 245 workers, a fifth above the usual
+ * load.
  * <p>
- * What users saw: on calm days wide jobs were accepted and never ended, and others waited
- * for many seconds, while most workers had nothing to do. Order of events: a gang whose
- * tickets had lapsed planned its tasks anew in each turn and had the room of that plan
- * held until it was answered, also while its question waited for a host that had time;
- * the plan named mostly workers that it knew nothing of, as it spared those known as
- * allowed for gangs, itself among them; two thirds of them were not allowed, and the next
- * plan named others. Held room grew to 0.72 of the pool while 0.20 was in use, so that
- * other steps asked about each worker that became free, one by one, and the questions
- * used up the hosts' time: 83 waited, up to 22 s. Evidence: {@code PoolLoad} and
- * {@code EligibilityAnswered} lines of a calm day (held, queued, 64 to 86 of 100 workers
- * in further questions named for the first time).
+ * Guards against starvation by held capacity, in which wide jobs never ended and others
+ * waited for many seconds while most workers were idle. A gang whose tickets had expired
+ * planned its tasks anew in each pass and held that capacity until the reply, even while
+ * its request was queued for a host. The plan consisted mostly of workers that had not
+ * been queried, because workers known to be eligible for gangs, including this one, were
+ * avoided; two thirds of them were not eligible, and the next plan used others. Holds
+ * grew to 0.72 of the pool while 0.20 was in use, so that other steps queried each worker
+ * that became free, one by one, and used up the time of the hosts: 83 requests were
+ * queued, for up to 22 s. The {@code PoolLoad} and {@code EligibilityAnswered} lines show
+ * this state by a high {@code held} and {@code questionsQueued}, and by 64 to 86 of 100
+ * workers that are queried for the first time in follow-up requests.
  */
 class LargePoolLoadTests {
 
@@ -39,19 +40,19 @@
 			new Spread(25, 0.8, 150), new Spread(2700, 0.5, 6800), new Spread(3500, 0.45, 10_000),
 			new Spread(10_000, 0.6, 30_000), 0, 0.5, 0.45, 130, 1.82);
 
-	private static final long PLAY_MILLIS = 14_000;
+	private static final long ARRIVAL_MILLIS = 14_000;
 
-	private static LoadSimulation.Result play(long seed, double factor) {
+	private static LoadSimulation.Result simulate(long seed, double factor) {
 		List<LoadClass> classes = List.of(CONFIRMATIONS.scaled(factor), ROSTERS.scaled(factor),
 				VOUCHERS.scaled(factor));
-		return new LoadSimulation(seed, CELL, classes, PlacementRules.DEFAULT).run(PLAY_MILLIS);
+		return new LoadSimulation(seed, CELL, classes, PlacementRules.DEFAULT).run(ARRIVAL_MILLIS);
 	}
 
 	@Test
 	void noStepStarvesBesideFreeWorkers() {
-		LoadSimulation.Result served = play(2, 1.2);
-		assertThat(served.faults()).isEmpty();
-		assertThat(served.starved()).isEmpty();
+		LoadSimulation.Result result = simulate(2, 1.2);
+		assertThat(result.faults()).isEmpty();
+		assertThat(result.starved()).isEmpty();
 	}
 
 }
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/LoadClass.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/LoadClass.java
@@ -1,76 +1,77 @@
 package org.monsoonrelay.logic.pool;
 
 /**
- * A kind of jobs in a played load. Spreads are those of the logarithm. Immutable.
+ * A class of jobs in a simulated load. Varying quantities are log-normally distributed.
+ * Immutable.
  *
- * @param name its name
- * @param perSecond jobs a second
- * @param worth what a job of mean work earns if it is done in time
- * @param slackFactor time it may take, in lengths of its chain of work
- * @param targetMillis time beyond that, milliseconds
- * @param steps mean number of steps
- * @param width tasks of a step
- * @param millis work of a task, milliseconds
- * @param processors thousandths of a processor that a task holds
- * @param memory MiB that a task holds
- * @param gangShare share of the steps that are gangs
- * @param estimateOff by how much the declared time may be off, of the true one
+ * @param name name of the class
+ * @param arrivalsPerSecond jobs that arrive per second
+ * @param value value that a job of mean work earns if it meets its deadline
+ * @param slackFactor allowed time in multiples of the run time of its steps in sequence
+ * @param targetMillis allowed time in addition to that, milliseconds
+ * @param steps mean number of steps per job
+ * @param width tasks per step
+ * @param runMillis run time of a task, milliseconds
+ * @param processors thousandths of a processor that a task uses
+ * @param memory memory that a task uses, MiB
+ * @param gangShare share of gangs among the steps
+ * @param estimateError largest error of the declared run time, as a share of the true one
  * @param eligibleShare share of the workers that may run a step
- * @param decideMillis time of a call for eligibility, milliseconds
- * @param perWorkerMillis time more for each worker, milliseconds
- * @param burst when more of them come
+ * @param decideMillis fixed duration of an eligibility call, milliseconds
+ * @param perWorkerMillis additional duration of the call per worker, milliseconds
+ * @param burst period with a higher arrival rate
  */
-record LoadClass(String name, double perSecond, double value, double slackFactor, long targetMillis, double steps,
-		Spread width, Spread millis, Spread processors, Spread memory, double gangShare, double estimateError,
-		double eligibleShare, double decideMillis, double perWorkerMillis, Burst burst) {
+record LoadClass(String name, double arrivalsPerSecond, double value, double slackFactor, long targetMillis,
+		double steps, Spread width, Spread runMillis, Spread processors, Spread memory, double gangShare,
+		double estimateError, double eligibleShare, double decideMillis, double perWorkerMillis, Burst burst) {
 
-	/** Share of its worth that a late job earns, up to three times its time. */
+	/** Share of its value that a late job earns, up to three times its allowed time. */
 	static final double LATE_VALUE_SHARE = 0.2;
 
-	LoadClass(String name, double perSecond, double worth, double slackFactor, long targetMillis, double steps,
-			Spread width, Spread millis, Spread processors, Spread memory, double gangShare, double estimateOff,
+	LoadClass(String name, double arrivalsPerSecond, double value, double slackFactor, long targetMillis, double steps,
+			Spread width, Spread runMillis, Spread processors, Spread memory, double gangShare, double estimateError,
 			double eligibleShare, double decideMillis, double perWorkerMillis) {
-		this(name, perSecond, worth, slackFactor, targetMillis, steps, width, millis, processors, memory, gangShare,
-				estimateOff, eligibleShare, decideMillis, perWorkerMillis, Burst.NONE);
+		this(name, arrivalsPerSecond, value, slackFactor, targetMillis, steps, width, runMillis, processors, memory,
+				gangShare, estimateError, eligibleShare, decideMillis, perWorkerMillis, Burst.NONE);
 	}
 
-	double perSecondAt(long millis) {
+	double arrivalRateAt(long millis) {
 		boolean isBurst = this.burst.startMillis() <= millis && millis < this.burst.endMillis();
-		return isBurst ? this.burst.factor() * this.perSecond : this.perSecond;
+		return isBurst ? this.burst.factor() * this.arrivalsPerSecond : this.arrivalsPerSecond;
 	}
 
 	LoadClass scaled(double factor) {
-		return new LoadClass(this.name, this.perSecond * factor, this.value, this.slackFactor, this.targetMillis,
-				this.steps, this.width, this.millis, this.processors, this.memory, this.gangShare, this.estimateError,
-				this.eligibleShare, this.decideMillis, this.perWorkerMillis, this.burst);
+		return new LoadClass(this.name, this.arrivalsPerSecond * factor, this.value, this.slackFactor,
+				this.targetMillis, this.steps, this.width, this.runMillis, this.processors, this.memory, this.gangShare,
+				this.estimateError, this.eligibleShare, this.decideMillis, this.perWorkerMillis, this.burst);
 	}
 
-	LoadClass withBurst(Burst more) {
-		return new LoadClass(this.name, this.perSecond, this.value, this.slackFactor, this.targetMillis, this.steps,
-				this.width, this.millis, this.processors, this.memory, this.gangShare, this.estimateError,
-				this.eligibleShare, this.decideMillis, this.perWorkerMillis, more);
+	LoadClass withBurst(Burst newBurst) {
+		return new LoadClass(this.name, this.arrivalsPerSecond, this.value, this.slackFactor, this.targetMillis,
+				this.steps, this.width, this.runMillis, this.processors, this.memory, this.gangShare,
+				this.estimateError, this.eligibleShare, this.decideMillis, this.perWorkerMillis, newBurst);
 	}
 
 	/**
-	 * A while in which more jobs come.
+	 * A period with a higher arrival rate.
 	 *
-	 * @param fromMillis its begin
-	 * @param untilMillis its end
-	 * @param factor how many times as many
+	 * @param startMillis its start, milliseconds
+	 * @param endMillis its end, milliseconds
+	 * @param factor factor of the arrival rate
 	 */
 	record Burst(long startMillis, long endMillis, double factor) {
 
-		/** No such while. */
+		/** No burst. */
 		static final Burst NONE = new Burst(0, 0, 1);
 
 	}
 
 	/**
-	 * A spread quantity.
+	 * A log-normally distributed quantity with an upper bound.
 	 *
 	 * @param mean its mean
-	 * @param spread deviation of its logarithm
-	 * @param most its upper bound
+	 * @param deviation standard deviation of its logarithm
+	 * @param max its upper bound
 	 */
 	record Spread(double mean, double deviation, double max) {
 
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/LoadSimulation.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/LoadSimulation.java
@@ -34,8 +34,9 @@
 import org.monsoonrelay.model.submission.WorkerService;
 
 /**
- * Plays a load of jobs against a real owner with some placement rules, on virtual time,
- * and counts what callers got. Faults are not played. Not thread-safe.
+ * Simulates a load of jobs on a real pool owner with given placement rules, in virtual
+ * time, and records how the jobs were served. Failures are not simulated. Not
+ * thread-safe.
  */
 final class LoadSimulation {
 
@@ -51,7 +52,10 @@
 
 	private static final long SAMPLE_INTERVAL_MILLIS = 100;
 
-	/** A job is starved if it stands still for this long beside free workers. */
+	/**
+	 * A job counts as starved if it makes no progress for this long while workers are
+	 * free.
+	 */
 	private static final long STARVATION_MILLIS = 3000;
 
 	private final VirtualTime time = new VirtualTime();
@@ -112,43 +116,43 @@
 		}
 	}
 
-	// The service answers one call of a host at a time. Which workers are allowed is
-	// drawn
-	// from the step's name and the worker's.
-	private CompletableFuture<Map<String, String>> requestTickets(String host, StepKey step, List<String> asked,
-			Duration limit) {
-		LoadClass kind = this.jobs.get(step.job()).kind();
-		long cost = (long) (kind.decideMillis() + kind.perWorkerMillis() * asked.size());
-		long free = Math.max(this.time.millis(), this.hostAvailableMillis.getOrDefault(host, 0L)) + cost;
-		this.hostAvailableMillis.put(host, free);
-		double[] made = this.calls.computeIfAbsent(kind.name(), (name) -> new double[2]);
-		made[0]++;
-		made[1] += cost;
+	// The service answers one call per host at a time. Which workers are eligible is
+	// derived from the step's and the worker's names.
+	private CompletableFuture<Map<String, String>> requestTickets(String host, StepKey step, List<String> queried,
+			Duration timeout) {
+		LoadClass loadClass = this.jobs.get(step.job()).loadClass();
+		long cost = (long) (loadClass.decideMillis() + loadClass.perWorkerMillis() * queried.size());
+		long freeMillis = Math.max(this.time.millis(), this.hostAvailableMillis.getOrDefault(host, 0L)) + cost;
+		this.hostAvailableMillis.put(host, freeMillis);
+		double[] callStats = this.calls.computeIfAbsent(loadClass.name(), (name) -> new double[2]);
+		callStats[0]++;
+		callStats[1] += cost;
 		Map<String, String> tickets = new HashMap<>();
-		for (String worker : asked) {
-			double drawn = new Random((step + worker).hashCode() * 2_654_435_761L).nextDouble();
-			if (drawn < kind.eligibleShare()) {
+		for (String worker : queried) {
+			double sample = new Random((step + worker).hashCode() * 2_654_435_761L).nextDouble();
+			if (sample < loadClass.eligibleShare()) {
 				tickets.put(worker, "ticket");
 			}
 		}
 		CompletableFuture<Map<String, String>> answer = new CompletableFuture<>();
-		this.time.schedule((Runnable) () -> answer.complete(tickets), free - this.time.millis(), TimeUnit.MILLISECONDS);
+		this.time.schedule((Runnable) () -> answer.complete(tickets), freeMillis - this.time.millis(),
+				TimeUnit.MILLISECONDS);
 		return answer;
 	}
 
 	/**
-	 * Play the load for a while, and wait until what came has had its time.
-	 * @param millis how long jobs come
-	 * @return what callers got
+	 * Runs the simulation until the jobs that arrived have had time to end.
+	 * @param millis how long jobs arrive
+	 * @return how the jobs were served
 	 */
 	Result run(long millis) {
 		this.time.scheduleAtFixedRate(this::sample, 0, SAMPLE_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
 		for (long now = 0; now < millis; now += TIME_STEP_MILLIS) {
-			for (LoadClass kind : this.classes) {
-				double expected = kind.perSecondAt(now) * TIME_STEP_MILLIS / TimeUnit.SECONDS.toMillis(1);
+			for (LoadClass loadClass : this.classes) {
+				double expected = loadClass.arrivalRateAt(now) * TIME_STEP_MILLIS / TimeUnit.SECONDS.toMillis(1);
 				for (double rest = expected; rest > 0; rest--) {
 					if (this.random.nextDouble() < rest) {
-						submit(kind);
+						submit(loadClass);
 					}
 				}
 			}
@@ -169,46 +173,51 @@
 		this.jobs.forEach((id, job) -> job.recordSample(isHalfFree && !running.contains(id)));
 	}
 
-	private void submit(LoadClass kind) {
+	private void submit(LoadClass loadClass) {
 		String id = "%016x".formatted(this.random.nextLong());
-		int count = (this.random.nextDouble() < kind.steps() - 1) ? 2 : 1;
+		int count = (this.random.nextDouble() < loadClass.steps() - 1) ? 2 : 1;
 		List<StepSpec> steps = new ArrayList<>();
-		double chain = 0;
+		double chainMillis = 0;
 		double work = 0;
 		for (int step = 0; step < count; step++) {
-			int width = Math.max(1, (int) Math.round(kind.width().sample(this.random)));
-			long runs = Math.max(50, Math.round(kind.millis().sample(this.random)));
-			Resources size = new Resources((int) Math.max(100, kind.processors().sample(this.random)),
-					Math.max(64, Math.round(kind.memory().sample(this.random))), 0);
-			double off = 1 + kind.estimateError() * (2 * this.random.nextDouble() - 1);
-			steps.add(new StepSpec(width, size, Math.max(50, Math.round(runs * off)),
-					(step > 0) ? List.of(step - 1) : List.of(), this.random.nextDouble() < kind.gangShare(), false, "",
-					"", 0, false, false, false, false));
+			int width = Math.max(1, (int) Math.round(loadClass.width().sample(this.random)));
+			long taskMillis = Math.max(50, Math.round(loadClass.runMillis().sample(this.random)));
+			Resources size = new Resources((int) Math.max(100, loadClass.processors().sample(this.random)),
+					Math.max(64, Math.round(loadClass.memory().sample(this.random))), 0);
+			double estimateFactor = 1 + loadClass.estimateError() * (2 * this.random.nextDouble() - 1);
+			steps.add(new StepSpec(width, size, Math.max(50, Math.round(taskMillis * estimateFactor)),
+					(step > 0) ? List.of(step - 1) : List.of(), this.random.nextDouble() < loadClass.gangShare(), false,
+					"", "", 0, false, false, false, false));
 			this.sizes.put(new StepKey(id, 0, step), size);
 			for (int i = 0; i < width; i++) {
-				this.runMillis.put(new TaskKey(id, 0, step, i), runs);
+				this.runMillis.put(new TaskKey(id, 0, step, i), taskMillis);
 			}
-			chain += runs;
-			work += (double) width * runs * size.processors();
+			chainMillis += taskMillis;
+			work += (double) width * taskMillis * size.processors();
 		}
 		long now = this.time.millis();
-		QueuePolicy policy = new QueuePolicy(kind.name(), "salon", this.classes.indexOf(kind), 3, kind.slackFactor(),
-				kind.targetMillis(), new EligibilityTimes(kind.decideMillis(), kind.perWorkerMillis(), TICKET_MILLIS));
+		QueuePolicy policy = new QueuePolicy(loadClass.name(), "salon", this.classes.indexOf(loadClass), 3,
+				loadClass.slackFactor(), loadClass.targetMillis(),
+				new EligibilityTimes(loadClass.decideMillis(), loadClass.perWorkerMillis(), TICKET_MILLIS));
 		Submission submission = new Submission(id, policy, "text", steps, Timetable.AT_ONCE, now);
-		this.jobs.put(id, new SimulatedJob(kind, now, (long) (kind.slackFactor() * chain) + kind.targetMillis(), work));
+		this.jobs.put(id, new SimulatedJob(loadClass, now,
+				(long) (loadClass.slackFactor() * chainMillis) + loadClass.targetMillis(), work));
 		this.table.client()
 			.commit(PartitionWrite.to(JobTables.partition(id)).put(JobTables.JOBS, id, Json.write(submission)));
 	}
 
 	private Result result() {
 		Map<String, double[]> sums = new TreeMap<>();
-		for (LoadClass kind : this.classes) {
-			List<SimulatedJob> played = this.jobs.values().stream().filter((job) -> job.kind() == kind).toList();
-			double mean = played.stream().mapToDouble(SimulatedJob::work).average().orElse(1);
-			double[] sum = sums.computeIfAbsent(kind.name(), (name) -> new double[3]);
-			sum[2] = played.stream().mapToDouble(SimulatedJob::durationShare).average().orElse(0);
-			for (SimulatedJob job : played) {
-				double worth = kind.value() * Math.min(4, 0.3 + 0.7 * job.work() / mean);
+		for (LoadClass loadClass : this.classes) {
+			List<SimulatedJob> classJobs = this.jobs.values()
+				.stream()
+				.filter((job) -> job.loadClass() == loadClass)
+				.toList();
+			double mean = classJobs.stream().mapToDouble(SimulatedJob::work).average().orElse(1);
+			double[] sum = sums.computeIfAbsent(loadClass.name(), (name) -> new double[3]);
+			sum[2] = classJobs.stream().mapToDouble(SimulatedJob::durationShare).average().orElse(0);
+			for (SimulatedJob job : classJobs) {
+				double worth = loadClass.value() * Math.min(4, 0.3 + 0.7 * job.work() / mean);
 				sum[0] += worth * job.earnedShare();
 				sum[1] += worth;
 			}
@@ -216,34 +225,34 @@
 		List<String> starved = new ArrayList<>();
 		this.jobs.forEach((id, job) -> {
 			if (job.longestStallMillis >= STARVATION_MILLIS) {
-				starved.add(job.kind().name() + " " + id);
+				starved.add(job.loadClass().name() + " " + id);
 			}
 		});
 		return new Result(sums, starved, this.workers.violations(), this.calls, this.loads);
 	}
 
 	/**
-	 * Where a load is played.
+	 * The simulated cell.
 	 *
 	 * @param workers number of workers
-	 * @param hosts hosts that ask who may run a step
-	 * @param capacity size of a worker
+	 * @param hosts number of hosts that make eligibility calls
+	 * @param capacity capacity of each worker
 	 */
 	record Cell(int workers, int hosts, Resources capacity) {
 
 	}
 
 	/**
-	 * What callers got.
+	 * How the jobs were served.
 	 *
-	 * @param sums earned and owed by class, and the mean time of its jobs as a share of
-	 * what is allowed
-	 * @param starved jobs that stood still for three seconds while half of the workers'
-	 * processors were free
-	 * @param faults faults of placement
-	 * @param calls calls for eligibility by class, and the host time they took,
+	 * @param sums by class: earned value, total value, and the mean duration of its jobs
+	 * as a share of the allowed time
+	 * @param starved jobs that made no progress for three seconds while more than half of
+	 * the workers' processors were free
+	 * @param faults violations of placement rules
+	 * @param calls by class: number of eligibility calls, and the host time they took,
 	 * milliseconds
-	 * @param loads the owner's view of the pool, second by second
+	 * @param loads the owner's view of the pool for each second
 	 */
 	record Result(Map<String, double[]> sums, List<String> starved, List<String> faults, Map<String, double[]> calls,
 			List<PoolDecision.PoolLoad> loads) {
@@ -265,7 +274,7 @@
 
 	private static final class SimulatedJob {
 
-		private final LoadClass kind;
+		private final LoadClass loadClass;
 
 		private final long startMillis;
 
@@ -279,24 +288,24 @@
 
 		private long longestStallMillis;
 
-		SimulatedJob(LoadClass kind, long begunMillis, long allowedMillis, double work) {
-			this.kind = kind;
-			this.startMillis = begunMillis;
+		SimulatedJob(LoadClass loadClass, long startMillis, long allowedMillis, double work) {
+			this.loadClass = loadClass;
+			this.startMillis = startMillis;
 			this.allowedMillis = allowedMillis;
 			this.work = work;
 		}
 
-		LoadClass kind() {
-			return this.kind;
+		LoadClass loadClass() {
+			return this.loadClass;
 		}
 
 		double work() {
 			return this.work;
 		}
 
-		void recordSample(boolean isStanding) {
+		void recordSample(boolean isStalled) {
 			boolean isOver = this.durationMillis != Long.MAX_VALUE;
-			this.stalledMillis = (isStanding && !isOver) ? this.stalledMillis + SAMPLE_INTERVAL_MILLIS : 0;
+			this.stalledMillis = (isStalled && !isOver) ? this.stalledMillis + SAMPLE_INTERVAL_MILLIS : 0;
 			this.longestStallMillis = Math.max(this.longestStallMillis, this.stalledMillis);
 		}
 
@@ -320,14 +329,14 @@
 		}
 
 		@Override
-		public void publishStates(long epoch, Map<String, SubmissionState> told,
+		public void publishStates(long epoch, Map<String, SubmissionState> states,
 				java.util.Optional<QueueCount> pending) {
 			LoadSimulation load = LoadSimulation.this;
-			load.states.applyOwnerUpdate(told, pending);
-			told.forEach((job, state) -> {
+			load.states.applyOwnerUpdate(states, pending);
+			states.forEach((job, state) -> {
 				if (state == SubmissionState.COMPLETED) {
-					SimulatedJob played = load.jobs.get(job);
-					played.durationMillis = load.time.millis() - played.startMillis;
+					SimulatedJob classJobs = load.jobs.get(job);
+					classJobs.durationMillis = load.time.millis() - classJobs.startMillis;
 				}
 			});
 		}
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/LoadSimulationTests.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/LoadSimulationTests.java
@@ -13,11 +13,11 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Plays the load of a salon chain near the capacity of its pool, without faults. Of 24
- * seeds at 1.25 of the usual load gangs earned 0.814 of what they were owed before room
- * was kept for them, 0.828 since; of single seeds the difference has either sign. At the
- * usual load they earned 0.829 before workers were reserved for gangs about to be late,
- * 0.845 since.
+ * Simulates the load of a salon chain near the capacity of its pool, without failures.
+ * Over 24 seeds at 1.25 times the usual load, gangs earned 0.814 of their value before
+ * capacity was set aside for them and 0.828 since; for single seeds the difference has
+ * either sign. At the usual load they earned 0.829 before workers were reserved for gangs
+ * that are about to be late, and 0.845 since.
  */
 class LoadSimulationTests {
 
@@ -25,7 +25,7 @@
 
 	private static final LoadSimulation.Cell CELL = new LoadSimulation.Cell(33, 6, new Resources(32_000, 131_072, 0));
 
-	private static final long PLAY_MILLIS = 20_000;
+	private static final long ARRIVAL_MILLIS = 20_000;
 
 	private static final LoadClass CONFIRMATIONS = new LoadClass("confirmations", 33.7, 0.415, 1.5, 250, 1,
 			new Spread(2, 0.8, 12), new Spread(640, 0.5, 1600), new Spread(2800, 0.45, 8400),
@@ -39,57 +39,57 @@
 			new Spread(10, 0.8, 60), new Spread(2700, 0.5, 6800), new Spread(2000, 0.45, 5900),
 			new Spread(5600, 0.6, 17_000), 0, 0.5, 0.45, 49, 0.71);
 
-	private static final PlacementRules FIRST_COME = new PlacementRules(
+	private static final PlacementRules FIRST_COME_FIRST_SERVED = new PlacementRules(
 			(now) -> Comparator.comparingInt(QueueEntry::priority).thenComparingLong(QueueEntry::readyMillis),
 			(step, index, candidates, demand) -> candidates.isEmpty() ? Optional.empty()
 					: Optional.of(candidates.get(0)),
 			Long.MAX_VALUE, 0);
 
-	private static final PlacementRules WITHOUT_ROOM_KEPT = new PlacementRules(new LeastSlackOrder(),
+	private static final PlacementRules WITHOUT_CAPACITY_SET_ASIDE = new PlacementRules(new LeastSlackOrder(),
 			new GangAwareBestFit(), Long.MAX_VALUE, 0);
 
 	private static final PlacementRules WITHOUT_RESERVATION = new PlacementRules(new LeastSlackOrder(),
 			new GangAwareBestFit(), GangReservations.SLACK_THRESHOLD_MILLIS, 0);
 
-	private static LoadSimulation.Result play(long seed, double factor, PlacementRules rules) {
+	private static LoadSimulation.Result simulate(long seed, double factor, PlacementRules rules) {
 		List<LoadClass> classes = List.of(CONFIRMATIONS.scaled(factor), ROSTERS.scaled(factor),
 				VOUCHERS.scaled(factor));
-		LoadSimulation.Result served = new LoadSimulation(seed, CELL, classes, rules).run(PLAY_MILLIS);
-		assertThat(served.faults()).isEmpty();
-		return served;
+		LoadSimulation.Result result = new LoadSimulation(seed, CELL, classes, rules).run(ARRIVAL_MILLIS);
+		assertThat(result.faults()).isEmpty();
+		return result;
 	}
 
-	private static double mean(ToDoubleFunction<LoadSimulation.Result> share, List<LoadSimulation.Result> played) {
-		return played.stream().mapToDouble(share).average().orElseThrow();
+	private static double mean(ToDoubleFunction<LoadSimulation.Result> share, List<LoadSimulation.Result> results) {
+		return results.stream().mapToDouble(share).average().orElseThrow();
 	}
 
-	private static List<LoadSimulation.Result> playAll(double factor, PlacementRules rules) {
-		return LongStream.range(0, SEEDS).parallel().mapToObj((seed) -> play(seed, factor, rules)).toList();
+	private static List<LoadSimulation.Result> simulateAll(double factor, PlacementRules rules) {
+		return LongStream.range(0, SEEDS).parallel().mapToObj((seed) -> simulate(seed, factor, rules)).toList();
 	}
 
 	@Test
-	void ofAQuarterMoreThanUsualServesGangsBetterAndOthersAsWell() {
-		List<LoadSimulation.Result> played = playAll(1.25, PlacementRules.DEFAULT);
-		double before = mean((served) -> served.earnedShare("rosters"), playAll(1.25, WITHOUT_ROOM_KEPT));
-		assertThat(mean((served) -> served.earnedShare("rosters"), played)).isGreaterThan(before + 0.01);
-		assertThat(mean((served) -> served.earnedShare("confirmations"), played)).isGreaterThan(0.99);
-		assertThat(mean((served) -> served.earnedShare("vouchers"), played)).isGreaterThan(0.99);
+	void settingCapacityAsideServesGangsBetterAndOthersAsWellAboveTheUsualLoad() {
+		List<LoadSimulation.Result> results = simulateAll(1.25, PlacementRules.DEFAULT);
+		double before = mean((result) -> result.earnedShare("rosters"), simulateAll(1.25, WITHOUT_CAPACITY_SET_ASIDE));
+		assertThat(mean((result) -> result.earnedShare("rosters"), results)).isGreaterThan(before + 0.01);
+		assertThat(mean((result) -> result.earnedShare("confirmations"), results)).isGreaterThan(0.99);
+		assertThat(mean((result) -> result.earnedShare("vouchers"), results)).isGreaterThan(0.99);
 	}
 
 	@Test
-	void asUsualServesGangsBetterWithWorkersReservedForThoseAboutToBeLate() {
-		List<LoadSimulation.Result> played = playAll(1, PlacementRules.DEFAULT);
-		double before = mean((served) -> served.earnedShare("rosters"), playAll(1, WITHOUT_RESERVATION));
-		assertThat(mean((served) -> served.earnedShare("rosters"), played)).isGreaterThan(before + 0.005);
-		assertThat(mean((served) -> served.earnedShare("confirmations"), played)).isGreaterThan(0.99);
-		assertThat(mean((served) -> served.earnedShare("vouchers"), played)).isGreaterThan(0.99);
+	void reservingWorkersForGangsAboutToBeLateServesGangsBetterAtTheUsualLoad() {
+		List<LoadSimulation.Result> results = simulateAll(1, PlacementRules.DEFAULT);
+		double before = mean((result) -> result.earnedShare("rosters"), simulateAll(1, WITHOUT_RESERVATION));
+		assertThat(mean((result) -> result.earnedShare("rosters"), results)).isGreaterThan(before + 0.005);
+		assertThat(mean((result) -> result.earnedShare("confirmations"), results)).isGreaterThan(0.99);
+		assertThat(mean((result) -> result.earnedShare("vouchers"), results)).isGreaterThan(0.99);
 	}
 
 	@Test
-	void asUsualEarnsMoreThanFirstComeFirstServed() {
-		double inUse = mean(LoadSimulation.Result::earnedShare, playAll(1, PlacementRules.DEFAULT));
-		double firstCome = mean(LoadSimulation.Result::earnedShare, playAll(1, FIRST_COME));
-		assertThat(inUse).isGreaterThan(firstCome + 0.01);
+	void defaultRulesEarnMoreThanFirstComeFirstServedAtTheUsualLoad() {
+		double defaultRules = mean(LoadSimulation.Result::earnedShare, simulateAll(1, PlacementRules.DEFAULT));
+		double firstComeFirstServed = mean(LoadSimulation.Result::earnedShare, simulateAll(1, FIRST_COME_FIRST_SERVED));
+		assertThat(defaultRules).isGreaterThan(firstComeFirstServed + 0.01);
 	}
 
 }
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/ManualEligibilityPool.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/ManualEligibilityPool.java
@@ -27,8 +27,8 @@
 import org.monsoonrelay.model.submission.WorkerService;
 
 /**
- * An owner with one host for questions on eligibility, which a test answers by hand. Each
- * task takes a whole worker. Not thread-safe.
+ * A pool owner with one host for eligibility requests, to which a test replies
+ * explicitly. Each task takes a whole worker. Not thread-safe.
  */
 final class ManualEligibilityPool {
 
@@ -74,9 +74,9 @@
 	}
 
 	/**
-	 * Let workers join, which have nothing to do.
-	 * @param count how many
-	 * @return the workers
+	 * Adds idle workers to the pool.
+	 * @param count number of workers
+	 * @return ids of the added workers
 	 */
 	List<String> addIdleWorkers(int count) {
 		int known = this.workers.listedWorkers().size();
@@ -86,14 +86,14 @@
 		return this.workers.listedWorkers().stream().skip(known).map(WorkerInfo::id).toList();
 	}
 
-	private CompletableFuture<Map<String, String>> requestTickets(String host, StepKey step, List<String> asked,
-			Duration limit) {
-		PendingRequest question = new PendingRequest(asked, new CompletableFuture<>());
-		this.pendingRequests.put(step.job(), question);
-		return question.answer();
+	private CompletableFuture<Map<String, String>> requestTickets(String host, StepKey step, List<String> queried,
+			Duration timeout) {
+		PendingRequest request = new PendingRequest(queried, new CompletableFuture<>());
+		this.pendingRequests.put(step.job(), request);
+		return request.answer();
 	}
 
-	/** From now on nobody needs to be asked who may run a step. */
+	/** Changes the configuration so that steps do not need eligibility any more. */
 	void configureWithoutEligibility() {
 		QueueRoute route = new QueueRoute("host", "/", 3000, policy(null));
 		this.owner.configure(new QueueConfiguration(2, List.of(route), List.of(new WorkerService("salon", false))));
@@ -104,13 +104,13 @@
 		return new QueuePolicy("queue", "salon", 0, 3, 1, 0, times);
 	}
 
-	/** Let a job take all workers. */
+	/** Occupies all workers with a job. */
 	void occupyAllWorkers() {
 		submit(FILLER, this.workers.listedWorkers().size(), false, null);
 		runBriefly();
 	}
 
-	/** Let that job end. */
+	/** Cancels the job that occupies all workers. */
 	void freeAllWorkers() {
 		this.table.client()
 			.commit(PartitionWrite.to(JobTables.partition(FILLER))
@@ -123,13 +123,13 @@
 		runBriefly();
 	}
 
-	void submitSingles(String id, int tasks, EligibilityTimes times) {
+	void submitIndependentTasks(String id, int tasks, EligibilityTimes times) {
 		submit(id, tasks, false, times);
 		runBriefly();
 	}
 
 	/**
-	 * Submit a job of one task that any worker may run and that has no time to spare.
+	 * Submits a job of one task that any worker may run and that has no slack.
 	 * @param id the job's id
 	 */
 	void submitUrgent(String id) {
@@ -147,30 +147,31 @@
 	}
 
 	/**
-	 * The workers that the open question about a job names.
+	 * The workers queried by the pending request of a job.
 	 * @param id the job's id
-	 * @return the workers, none if there is no such question
+	 * @return the workers, empty if no request is pending
 	 */
 	List<String> requestedWorkers(String id) {
-		PendingRequest question = this.pendingRequests.get(id);
-		return (question != null) ? question.workers() : List.of();
+		PendingRequest request = this.pendingRequests.get(id);
+		return (request != null) ? request.workers() : List.of();
 	}
 
 	/**
-	 * Answer the open question about a job: each third worker of the pool is allowed.
+	 * Replies to the pending request of a job: every third worker of the pool is
+	 * eligible.
 	 * @param id the job's id
-	 * @return the allowed workers
+	 * @return the eligible workers
 	 */
 	List<String> reply(String id) {
-		PendingRequest question = this.pendingRequests.remove(id);
-		List<String> allowed = question.workers()
+		PendingRequest request = this.pendingRequests.remove(id);
+		List<String> eligible = request.workers()
 			.stream()
 			.filter((worker) -> Integer.parseInt(worker.substring(1)) % 3 == 0)
 			.toList();
-		question.answer()
-			.complete(allowed.stream().collect(Collectors.toMap((worker) -> worker, (worker) -> "ticket")));
+		request.answer()
+			.complete(eligible.stream().collect(Collectors.toMap((worker) -> worker, (worker) -> "ticket")));
 		runBriefly();
-		return allowed;
+		return eligible;
 	}
 
 	boolean isStarted(String id) {
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/PlacementRulesTests.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/PlacementRulesTests.java
@@ -45,14 +45,14 @@
 		}
 
 		@Test
-		void putsWhatHasToStartSoonestFirst() {
-			ActiveStep roomy = step("roomy", 1000, 4, 1000, "");
-			ActiveStep tight = step("tight", 1500, 2, 500, "");
-			assertThat(sorted(1600, roomy, tight)).containsExactly("tight", "roomy");
+		void putsStepsWithTheEarliestLatestStartFirst() {
+			ActiveStep muchSlack = step("roomy", 1000, 4, 1000, "");
+			ActiveStep littleSlack = step("tight", 1500, 2, 500, "");
+			assertThat(sorted(1600, muchSlack, littleSlack)).containsExactly("tight", "roomy");
 		}
 
 		@Test
-		void putsLateWorkBehindWhatCanStillBeInTime() {
+		void putsLateStepsBehindThoseThatCanStillMeetTheirDeadline() {
 			ActiveStep late = step("late", 1000, 2, 500, "");
 			ActiveStep worthless = step("worthless", 0, 2, 100, "");
 			ActiveStep young = step("young", 2300, 4, 1000, "");
@@ -67,8 +67,8 @@
 		@Test
 		void comeFirstHoweverOldTheirJobIs() {
 			ActiveStep restarted = step("restarted", 0, 2, 500, "", true);
-			ActiveStep tight = step("tight", 60_000, 2, 500, "");
-			List<String> sorted = Stream.of(tight, restarted)
+			ActiveStep littleSlack = step("tight", 60_000, 2, 500, "");
+			List<String> sorted = Stream.of(littleSlack, restarted)
 				.map(QueueEntry::of)
 				.sorted(new LeastSlackOrder().comparator(60_100))
 				.map((waiting) -> waiting.step().job().id())
@@ -79,9 +79,9 @@
 	}
 
 	@Nested
-	class Choice {
+	class WorkerSelection {
 
-		private final GangAwareBestFit choice = new GangAwareBestFit();
+		private final GangAwareBestFit selector = new GangAwareBestFit();
 
 		private final GangDemand demand = new GangDemand();
 
@@ -94,26 +94,26 @@
 			return worker;
 		}
 
-		private String chosen(ActiveStep step, PoolWorker... workers) {
-			return this.choice.select(step, 0, List.of(workers), this.demand).orElseThrow().id();
+		private String selected(ActiveStep step, PoolWorker... workers) {
+			return this.selector.select(step, 0, List.of(workers), this.demand).orElseThrow().id();
 		}
 
 		@Test
-		void takesTheFullestWorkerThatHasRoom() {
-			assertThat(chosen(step("a", 0, 1, 1, ""), worker("empty", "r", 0), worker("full", "r", 6)))
+		void takesTheFullestWorkerWithEnoughCapacity() {
+			assertThat(selected(step("a", 0, 1, 1, ""), worker("empty", "r", 0), worker("full", "r", 6)))
 				.isEqualTo("full");
 		}
 
 		@Test
-		void sparesTheWorkersThatGangsWait() {
+		void avoidsTheWorkersThatGangsWaitFor() {
 			this.demand.add("full");
-			assertThat(chosen(step("a", 0, 1, 1, ""), worker("empty", "r", 0), worker("full", "r", 6)))
+			assertThat(selected(step("a", 0, 1, 1, ""), worker("empty", "r", 0), worker("full", "r", 6)))
 				.isEqualTo("empty");
 		}
 
 		@Test
-		void staysNearTheData() {
-			assertThat(chosen(step("a", 0, 1, 1, "near"), worker("near", "near", 0), worker("far", "far", 6)))
+		void prefersWorkersNearTheData() {
+			assertThat(selected(step("a", 0, 1, 1, "near"), worker("near", "near", 0), worker("far", "far", 6)))
 				.isEqualTo("near");
 		}
 
@@ -121,16 +121,16 @@
 		void avoidsTheWorkerOnWhichTheTaskFailed() {
 			ActiveStep step = step("a", 0, 1, 1, "");
 			step.recordFailure(0, "full");
-			assertThat(chosen(step, worker("empty", "r", 0), worker("full", "r", 6))).isEqualTo("empty");
+			assertThat(selected(step, worker("empty", "r", 0), worker("full", "r", 6))).isEqualTo("empty");
 		}
 
 	}
 
 	@Nested
-	class Ledger {
+	class WorkerCapacity {
 
 		@Test
-		void countsWhatIsHeldAndWhatIsBeingStopped() {
+		void countsHeldCapacityAndRunsBeingStopped() {
 			PoolWorker worker = new PoolWorker(
 					new WorkerInfo("w", "s", "a:1", "d", new Resources(3000, 800, 0), List.of(), "r", false, 0));
 			worker.markRecorded();
@@ -148,7 +148,7 @@
 		}
 
 		@Test
-		void isClosedUntilTheWorkerIsReachedAndNamed() {
+		void isUnavailableUntilTheWorkerIsReachableAndRecorded() {
 			PoolWorker worker = new PoolWorker(
 					new WorkerInfo("w", "s", "a:1", "d", new Resources(3000, 800, 0), List.of(), "r", false, 0));
 			assertThat(worker.canAccept(SIZE, 0)).isFalse();
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/TakeOverPolicyTests.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/pool/TakeOverPolicyTests.java
@@ -11,87 +11,89 @@
 
 	private static final HostSize LARGE = new HostSize(1.5, 200);
 
-	private static final OwnerRecord LEFT = new OwnerRecord("p", "owner", 4, 7, false, List.of(), Map.of(), LARGE,
+	private static final OwnerRecord UNOWNED = new OwnerRecord("p", "owner", 4, 7, false, List.of(), Map.of(), LARGE,
 			List.of("first", "second", "third"), true);
 
-	private static final long YIELD_ALMOST_MILLIS = TakeOverPolicy.NON_STANDBY_DELAY_MILLIS - 1;
+	private static final long ALMOST_DELAY_MILLIS = TakeOverPolicy.NON_STANDBY_DELAY_MILLIS - 1;
 
 	private final VirtualTime time = new VirtualTime();
 
-	private TakeOverPolicy of(String host, double processors, double linkMbps) {
+	private TakeOverPolicy policy(String host, double processors, double linkMbps) {
 		return new TakeOverPolicy(new HostRecord(host, "domain", "a:1", "life", processors, linkMbps, false),
 				this.time.clock());
 	}
 
-	private long untilTaken(TakeOverPolicy pool, OwnerRecord record) {
-		long begun = this.time.millis();
-		TakeOverPolicy.Action step = pool.nextAction(record, 1);
+	private long millisUntilTakeOver(TakeOverPolicy takeOver, OwnerRecord record) {
+		long startMillis = this.time.millis();
+		TakeOverPolicy.Action step = takeOver.nextAction(record, 1);
 		while (step != TakeOverPolicy.Action.TAKE_OVER) {
 			if (step == TakeOverPolicy.Action.PROBE_TABLE) {
-				pool.recordWritable();
+				takeOver.recordWritable();
 			}
 			this.time.runFor(1);
-			step = pool.nextAction(record, 1);
+			step = takeOver.nextAction(record, 1);
 		}
-		return this.time.millis() - begun;
+		return this.time.millis() - startMillis;
 	}
 
 	@Test
-	void isLeftToTheHostsThatStandReadyInTheirOrder() {
-		assertThat(untilTaken(of("first", 1.5, 200), LEFT)).isZero();
-		assertThat(untilTaken(of("third", 1.5, 200), LEFT)).isEqualTo(TakeOverPolicy.STANDBY_DELAY_MILLIS);
-		assertThat(untilTaken(of("other", 1.5, 200), LEFT)).isEqualTo(2 * TakeOverPolicy.NON_STANDBY_DELAY_MILLIS);
+	void prefersStandbysInTheirOrder() {
+		assertThat(millisUntilTakeOver(policy("first", 1.5, 200), UNOWNED)).isZero();
+		assertThat(millisUntilTakeOver(policy("third", 1.5, 200), UNOWNED))
+			.isEqualTo(TakeOverPolicy.STANDBY_DELAY_MILLIS);
+		assertThat(millisUntilTakeOver(policy("other", 1.5, 200), UNOWNED))
+			.isEqualTo(2 * TakeOverPolicy.NON_STANDBY_DELAY_MILLIS);
 	}
 
 	@Test
-	void isLeftToLargeHostsByOneOfFewProcessorsOrANarrowLinkWhateverItsPlace() {
-		long small = TakeOverPolicy.NON_STANDBY_DELAY_MILLIS + TakeOverPolicy.SMALL_HOST_DELAY_MILLIS;
-		assertThat(untilTaken(of("first", 0.36, 200), LEFT)).isEqualTo(small);
-		assertThat(untilTaken(of("second", 1.5, 10), LEFT)).isEqualTo(small);
-		assertThat(untilTaken(of("other", 0.36, 10), LEFT)).isEqualTo(small);
+	void delaysHostsWithFewProcessorsOrASlowLinkWhateverTheirPosition() {
+		long smallHostDelayMillis = TakeOverPolicy.NON_STANDBY_DELAY_MILLIS + TakeOverPolicy.SMALL_HOST_DELAY_MILLIS;
+		assertThat(millisUntilTakeOver(policy("first", 0.36, 200), UNOWNED)).isEqualTo(smallHostDelayMillis);
+		assertThat(millisUntilTakeOver(policy("second", 1.5, 10), UNOWNED)).isEqualTo(smallHostDelayMillis);
+		assertThat(millisUntilTakeOver(policy("other", 0.36, 10), UNOWNED)).isEqualTo(smallHostDelayMillis);
 	}
 
 	@Test
-	void isLeftToNobodyWhereNoHostsAreKnown() {
-		OwnerRecord alone = new OwnerRecord("p", "owner", 4, 7, false, List.of(), Map.of(), HostSize.UNKNOWN, List.of(),
-				true);
-		assertThat(untilTaken(of("other", 0.36, 10), alone)).isZero();
+	void takesOverAtOnceWhereNoHostsAreKnown() {
+		OwnerRecord withoutHosts = new OwnerRecord("p", "owner", 4, 7, false, List.of(), Map.of(), HostSize.UNKNOWN,
+				List.of(), true);
+		assertThat(millisUntilTakeOver(policy("other", 0.36, 10), withoutHosts)).isZero();
 	}
 
 	@Test
-	void isTakenByNoOtherHostBeforeTheTableTakesWrites() {
-		TakeOverPolicy pool = of("other", 1.5, 200);
-		assertThat(pool.nextAction(LEFT, 1)).isEqualTo(TakeOverPolicy.Action.WAIT);
+	void delaysOtherHostsUntilTheTableAcceptsWrites() {
+		TakeOverPolicy takeOver = policy("other", 1.5, 200);
+		assertThat(takeOver.nextAction(UNOWNED, 1)).isEqualTo(TakeOverPolicy.Action.WAIT);
 		this.time.runFor(60_000);
-		assertThat(pool.nextAction(LEFT, 1)).isEqualTo(TakeOverPolicy.Action.PROBE_TABLE);
-		pool.recordWritable();
-		assertThat(pool.nextAction(LEFT, 1)).isEqualTo(TakeOverPolicy.Action.WAIT);
+		assertThat(takeOver.nextAction(UNOWNED, 1)).isEqualTo(TakeOverPolicy.Action.PROBE_TABLE);
+		takeOver.recordWritable();
+		assertThat(takeOver.nextAction(UNOWNED, 1)).isEqualTo(TakeOverPolicy.Action.WAIT);
 		this.time.runFor(TakeOverPolicy.NON_STANDBY_DELAY_MILLIS);
-		assertThat(pool.nextAction(LEFT, 1)).isEqualTo(TakeOverPolicy.Action.TAKE_OVER);
+		assertThat(takeOver.nextAction(UNOWNED, 1)).isEqualTo(TakeOverPolicy.Action.TAKE_OVER);
 	}
 
 	@Test
-	void isLeftAnewAfterATimeInWhichNobodyCouldTakeItOver() {
-		TakeOverPolicy pool = of("other", 1.5, 200);
-		pool.nextAction(LEFT, 1);
-		this.time.runFor(YIELD_ALMOST_MILLIS);
-		pool.recordWritable();
-		this.time.runFor(YIELD_ALMOST_MILLIS);
-		pool.reset();
-		pool.recordWritable();
+	void restartsTheWaitAfterATimeInWhichNoHostCouldTakeOver() {
+		TakeOverPolicy takeOver = policy("other", 1.5, 200);
+		takeOver.nextAction(UNOWNED, 1);
+		this.time.runFor(ALMOST_DELAY_MILLIS);
+		takeOver.recordWritable();
+		this.time.runFor(ALMOST_DELAY_MILLIS);
+		takeOver.reset();
+		takeOver.recordWritable();
 		this.time.runFor(5000);
-		assertThat(untilTaken(pool, LEFT)).isEqualTo(2 * TakeOverPolicy.NON_STANDBY_DELAY_MILLIS);
+		assertThat(millisUntilTakeOver(takeOver, UNOWNED)).isEqualTo(2 * TakeOverPolicy.NON_STANDBY_DELAY_MILLIS);
 	}
 
 	@Test
-	void isLeftAnewOnceItsRowHasChanged() {
-		TakeOverPolicy pool = of("other", 1.5, 200);
-		pool.nextAction(LEFT, 1);
-		pool.recordWritable();
+	void restartsTheWaitOnceTheRowHasChanged() {
+		TakeOverPolicy takeOver = policy("other", 1.5, 200);
+		takeOver.nextAction(UNOWNED, 1);
+		takeOver.recordWritable();
 		this.time.runFor(TakeOverPolicy.NON_STANDBY_DELAY_MILLIS);
-		assertThat(pool.nextAction(LEFT, 2)).isEqualTo(TakeOverPolicy.Action.WAIT);
+		assertThat(takeOver.nextAction(UNOWNED, 2)).isEqualTo(TakeOverPolicy.Action.WAIT);
 		this.time.runFor(TakeOverPolicy.NON_STANDBY_DELAY_MILLIS);
-		assertThat(pool.nextAction(LEFT, 2)).isEqualTo(TakeOverPolicy.Action.PROBE_TABLE);
+		assertThat(takeOver.nextAction(UNOWNED, 2)).isEqualTo(TakeOverPolicy.Action.PROBE_TABLE);
 	}
 
 }
