--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/PoolWorker.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/PoolWorker.java
@@ -225,10 +225,6 @@
 		setCommitted(this.committed.plus(size));
 	}
 
-	/**
-	 * Returns the capacity that is held for steps.
-	 * @return the held capacity
-	 */
 	Resources held() {
 		Resources held = Resources.NONE;
 		for (Hold hold : this.holds.values()) {
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/RunController.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/pool/RunController.java
@@ -30,9 +30,9 @@
 final class RunController {
 
 	/**
-	 * How long a worker may delay its response to a poll until a run terminates,
-	 * milliseconds. Renews a lease seven times before it expires and detects a dead
-	 * connection within two seconds.
+	 * Maximum delay of a poll response while no run terminates, milliseconds. Renews a
+	 * lease seven times before it expires and detects a dead connection within two
+	 * seconds.
 	 */
 	private static final long POLL_WAIT_MILLIS = 1000;
 
@@ -42,10 +42,7 @@
 	/** Maximum delay of polls until terminations are durable, milliseconds. */
 	private static final long MAX_DURABILITY_WAIT_MILLIS = 250;
 
-	/**
-	 * Delay between polls while terminations are deferred, milliseconds. A worker with
-	 * unacknowledged terminations responds to polls at once.
-	 */
+	/** Poll delay while deferred terminations end polls at once, milliseconds. */
 	private static final long DEFERRED_POLL_DELAY_MILLIS = 100;
 
 	/** Delay before an unanswered start is retried, milliseconds. */
@@ -150,8 +147,7 @@
 			this.listener.workerFenced(worker.id());
 		}
 		else {
-			handleNoAnswer(worker,
-					(outcome instanceof PollOutcome.NoAnswer noAnswer) ? noAnswer.reason() : "no outcome");
+			handleNoAnswer(worker, (outcome instanceof PollOutcome.NoAnswer none) ? none.reason() : "no outcome");
 		}
 	}
 
@@ -211,8 +207,7 @@
 	}
 
 	/**
-	 * Processes the terminations and runs that workers reported for a job before it was
-	 * loaded.
+	 * Processes the runs and terminations reported for a job before it was loaded.
 	 * @param job the job's id
 	 */
 	void onJobLoaded(String job) {
@@ -241,22 +236,22 @@
 		send(step, run, worker, request, 0);
 	}
 
-	private void send(ActiveStep step, Run run, PoolWorker worker, RunStartRequest request, int unansweredRequests) {
+	private void send(ActiveStep step, Run run, PoolWorker worker, RunStartRequest request, int retries) {
 		worker.requestSent(this.clock.nanos());
 		long leaseEndMillis = worker.lease().extend(this.clock.nanos(), this.ownerLease.workerLeaseMillis());
-		RunStartRequest leasedRequest = new RunStartRequest(request.task(), request.attempt(), request.spec(),
-				leaseEndMillis, request.fencingToken(), request.checkpoint(), request.ticket());
-		this.workerClient.start(worker.info(), leasedRequest)
+		RunStartRequest leased = new RunStartRequest(request.task(), request.attempt(), request.spec(), leaseEndMillis,
+				request.fencingToken(), request.checkpoint(), request.ticket());
+		this.workerClient.start(worker.info(), leased)
 			.whenComplete(ExecutorCallback.on(this.control, (outcome, failure) -> {
 				boolean isReleased = worker.run(run.task()).filter((active) -> active == run).isEmpty();
 				if (!this.closed && !isReleased) {
-					handleStartOutcome(step, run, worker, request, outcome, unansweredRequests);
+					handleStartOutcome(step, run, worker, request, outcome, retries);
 				}
 			}));
 	}
 
 	private void handleStartOutcome(ActiveStep step, Run run, PoolWorker worker, RunStartRequest request,
-			RunRequestOutcome outcome, int unansweredRequests) {
+			RunRequestOutcome outcome, int retries) {
 		if (outcome.kind().isResponse()) {
 			worker.responseReceived(this.clock.nanos());
 		}
@@ -271,8 +266,8 @@
 		switch (outcome.kind()) {
 			case FENCED -> this.listener.workerFenced(worker.id());
 			case GONE -> handlePollOutcome(worker, new PollOutcome.Gone(), 0);
-			case NO_ANSWER -> retryStart(step, run, worker, request, unansweredRequests + 1);
-			default -> handleRefusedStart(step, run, worker, outcome.kind(), unansweredRequests);
+			case NO_ANSWER -> retryStart(step, run, worker, request, retries + 1);
+			default -> handleRefusedStart(step, run, worker, outcome.kind(), retries);
 		}
 	}
 
@@ -283,12 +278,11 @@
 		}
 	}
 
-	private void retryStart(ActiveStep step, Run run, PoolWorker worker, RunStartRequest request,
-			int unansweredRequests) {
+	private void retryStart(ActiveStep step, Run run, PoolWorker worker, RunStartRequest request, int retries) {
 		if (run.state() != Run.State.STARTING) {
 			return;
 		}
-		if (unansweredRequests >= MAX_START_REQUESTS || step.job().isEnded() || !this.ownerLease.canGrantLeases()) {
+		if (retries >= MAX_START_REQUESTS || step.job().isEnded() || !this.ownerLease.canGrantLeases()) {
 			stop(run, "its start stays unanswered");
 			return;
 		}
@@ -296,19 +290,19 @@
 			boolean isWanted = run.state() == Run.State.STARTING
 					&& worker.run(run.task()).filter((active) -> active == run).isPresent();
 			if (isWanted && !this.closed) {
-				send(step, run, worker, request, unansweredRequests);
+				send(step, run, worker, request, retries);
 			}
 		}, START_RETRY_DELAY_MILLIS, TimeUnit.MILLISECONDS);
 	}
 
 	private void handleRefusedStart(ActiveStep step, Run run, PoolWorker worker, RunRequestOutcome.Kind kind,
-			int unansweredRequests) {
+			int retries) {
 		switch (kind) {
 			case TICKET_REFUSED -> this.eligibility.ticketRefused(step.key(), worker.id());
 			case OLD_ATTEMPT -> step.recordAttempt(run.task().index(), run.attempt() + 1);
 			default -> worker.failures().avoid(this.clock.nanos(), REFUSAL_BACKOFF_MILLIS);
 		}
-		if (unansweredRequests > 0 || run.state() != Run.State.STARTING) {
+		if (retries > 0 || run.state() != Run.State.STARTING) {
 			// An earlier start request may still be executed.
 			stop(run, "a repeated start was refused");
 			return;
@@ -369,8 +363,7 @@
 	}
 
 	/**
-	 * Expires held capacity and the leases of unreachable workers, and removes workers
-	 * that are no longer listed.
+	 * Expires holds and leases, and removes expired workers that are no longer listed.
 	 */
 	void expireLeases() {
 		long now = this.clock.nanos();
