--- a/monsoonrelay-gateway/src/main/java/org/monsoonrelay/gateway/CallerDrain.java
+++ b/monsoonrelay-gateway/src/main/java/org/monsoonrelay/gateway/CallerDrain.java
@@ -7,11 +7,11 @@
 import io.jooby.Jooby;
 
 /**
- * Sends callers elsewhere once the gateway is stopping, and tells when they have gone.
- * Each answer given from then on closes its connection, so that no caller writes a
- * request to a connection that the gateway is about to close. The same while the gateway
- * can serve nobody: an open connection would bring the caller's next request here.
- * Thread-safe.
+ * Drains the connections of callers when the gateway stops, and detects when no more
+ * requests arrive. While the gateway is stopping, each response closes its connection, so
+ * that no caller sends a request on a connection that the gateway is about to close.
+ * Responses also close their connection while the gateway cannot serve callers: an open
+ * connection would bring the caller's next request to this gateway. Thread-safe.
  */
 public final class CallerDrain {
 
@@ -29,7 +29,7 @@
 
 	/**
 	 * Create a drain.
-	 * @param monotonicNanos the steady clock
+	 * @param monotonicNanos the monotonic clock, in nanoseconds
 	 * @param canServe whether the gateway can serve callers now
 	 */
 	public CallerDrain(LongSupplier monotonicNanos, BooleanSupplier canServe) {
@@ -38,7 +38,7 @@
 	}
 
 	/**
-	 * Watch the requests of an application. To be called before its routes are added.
+	 * Track the requests of an application. Must be called before its routes are added.
 	 * @param application the application
 	 */
 	public void addTo(Jooby application) {
@@ -60,9 +60,9 @@
 	}
 
 	/**
-	 * Tell whether callers have gone.
-	 * @param nanos how long no request has to have come
-	 * @return {@code true} if none came for that long
+	 * Whether no request has arrived for a period of time.
+	 * @param nanos length of the period, in nanoseconds
+	 * @return {@code true} if no request arrived within the period
 	 */
 	public boolean isIdleFor(long nanos) {
 		return this.monotonicNanos.getAsLong() - this.lastArrivalNanos.get() >= nanos;
--- a/monsoonrelay-gateway/src/main/java/org/monsoonrelay/gateway/CallerHeaders.java
+++ b/monsoonrelay-gateway/src/main/java/org/monsoonrelay/gateway/CallerHeaders.java
@@ -14,21 +14,21 @@
 import org.monsoonrelay.model.request.RequestOutcome.HeaderLine;
 
 /**
- * Headers on their way between a caller and a backend server: all but those that belong
- * to one connection. Stateless and thread-safe.
+ * Copies headers between callers and backend servers, except those that belong to a
+ * single connection. Stateless and thread-safe.
  */
 final class CallerHeaders {
 
 	/**
-	 * Header with the time that the caller still waits, in milliseconds from the arrival
-	 * of the request.
+	 * Header with the remaining time until the deadline of the caller, in milliseconds
+	 * from the arrival of the request.
 	 */
 	static final String DEADLINE = "Monsoonrelay-Deadline-Ms";
 
-	/** Header with the caller's key for a request that may not be repeated. */
+	/** Header with the idempotency key of a request that is not repeatable. */
 	static final String IDEMPOTENCY_KEY = "Idempotency-Key";
 
-	/** Header with the identity that the gateway gives a request. */
+	/** Header with the request id that the gateway assigns. */
 	static final String REQUEST_ID = HttpBackendClient.REQUEST_ID;
 
 	private static final String SET_COOKIE = "set-cookie";
@@ -60,7 +60,7 @@
 	}
 
 	private static String decodeUtf8(String value) {
-		// The server reads each byte as one character; the client writes UTF-8.
+		// The server decodes each byte as one character; the client encodes as UTF-8.
 		return new String(value.getBytes(StandardCharsets.ISO_8859_1), StandardCharsets.UTF_8);
 	}
 
--- a/monsoonrelay-gateway/src/main/java/org/monsoonrelay/gateway/CallerRoutes.java
+++ b/monsoonrelay-gateway/src/main/java/org/monsoonrelay/gateway/CallerRoutes.java
@@ -18,9 +18,9 @@
 import org.monsoonrelay.model.workload.ServiceDeclaration;
 
 /**
- * The callers' side: {@code /services/SERVICE/OPERATION}. Each request gets one answer: a
- * backend server's whole answer, or a problem that says "not run" or "unknown".
- * Thread-safe.
+ * HTTP routes for callers: {@code /services/SERVICE/OPERATION}. Each request gets one
+ * response: the complete response of a backend server, or a problem which states that the
+ * request was not run or that its outcome is unknown. Thread-safe.
  */
 final class CallerRoutes {
 
@@ -28,7 +28,7 @@
 
 	private static final int MAXIMUM_KEY_LENGTH = 255;
 
-	/** A third of the heap that a gateway is given. */
+	/** Limit for the request bodies in memory: a third of the gateway's heap. */
 	static final long MAXIMUM_REQUEST_BYTES = 32 * 1024 * 1024;
 
 	private static final long MILLIS_PER_SECOND = 1000;
--- a/monsoonrelay-gateway/src/main/java/org/monsoonrelay/gateway/Gateway.java
+++ b/monsoonrelay-gateway/src/main/java/org/monsoonrelay/gateway/Gateway.java
@@ -31,8 +31,8 @@
 import org.monsoonrelay.model.host.HostAddress;
 
 /**
- * One gateway process: composition only. Thread-safe; one timer thread does the periodic
- * work, traffic runs on the servers' and clients' threads.
+ * A gateway process: creates and connects its components. Thread-safe: one timer thread
+ * does the periodic work, requests run on the threads of servers and clients.
  */
 final class Gateway {
 
@@ -161,8 +161,8 @@
 	}
 
 	/**
-	 * Refuse new requests, wait until those in flight are answered and callers have gone
-	 * elsewhere, then close.
+	 * Refuse new requests, wait until requests in flight have ended and no more requests
+	 * arrive, at most for the drain time, then close.
 	 */
 	void drain() {
 		this.callerRoutes.stop();
--- a/monsoonrelay-gateway/src/main/java/org/monsoonrelay/gateway/GatewayMain.java
+++ b/monsoonrelay-gateway/src/main/java/org/monsoonrelay/gateway/GatewayMain.java
@@ -11,7 +11,7 @@
 import picocli.CommandLine.Option;
 
 /**
- * The gateway's command line.
+ * Command line of the gateway.
  */
 @Command(name = "monsoonrelay-gateway", mixinStandardHelpOptions = true, version = "0.1.0",
 		description = "Takes callers' requests and forwards them to backend servers.")
@@ -24,7 +24,7 @@
 	private boolean printSettings;
 
 	/**
-	 * Run a gateway until it is told to stop.
+	 * Run a gateway until the process is asked to stop.
 	 * @param arguments the command line
 	 */
 	public static void main(String[] arguments) {
--- a/monsoonrelay-gateway/src/main/java/org/monsoonrelay/gateway/GatewayServices.java
+++ b/monsoonrelay-gateway/src/main/java/org/monsoonrelay/gateway/GatewayServices.java
@@ -26,7 +26,7 @@
 import org.monsoonrelay.model.workload.ServiceDeclaration;
 
 /**
- * The routers of the declared services. Thread-safe.
+ * Routes requests through one router for each declared service. Thread-safe.
  */
 final class GatewayServices {
 
@@ -64,8 +64,8 @@
 	}
 
 	/**
-	 * Route a request that may have an idempotency key. Requests that may be repeated
-	 * need none: for them it is only forwarded.
+	 * Route a request that may have an idempotency key. Repeatable requests need no key:
+	 * theirs is only forwarded.
 	 * @param request the request
 	 * @param key the key, if the caller gave one
 	 * @return the outcome; never fails
@@ -103,7 +103,7 @@
 	}
 
 	/**
-	 * Take in what a peer says of leaving backend servers.
+	 * Mark the backend servers that a peer reports as leaving.
 	 * @param incarnations incarnations of the leaving servers
 	 */
 	void markLeaving(Set<String> incarnations) {
@@ -111,7 +111,7 @@
 	}
 
 	/**
-	 * The backend servers that are leaving, by whichever word came first.
+	 * The backend servers that are leaving, as reported by themselves or by a peer.
 	 * @return their incarnations
 	 */
 	Set<String> leavingIncarnations() {
--- a/monsoonrelay-gateway/src/main/java/org/monsoonrelay/gateway/GatewaySettings.java
+++ b/monsoonrelay-gateway/src/main/java/org/monsoonrelay/gateway/GatewaySettings.java
@@ -12,18 +12,20 @@
 /**
  * Settings of a gateway. Immutable.
  *
- * @param node settings that every daemon has
- * @param callerAddress where callers reach it, {@code host:port}
- * @param adminAddress where operators read health and metrics, {@code host:port}
- * @param slotsPerBackendServer requests that one backend server runs at the same time
- * @param connectionsPerBackendServer connections that one backend server takes from all
- * gateways together
- * @param gateways number of gateways that run at the same time, without one that is being
- * replaced
- * @param maximumWaiting the most requests that wait for a slot, per service
- * @param attemptLimitMillis how long one attempt of a repeatable request may take, in
+ * @param node settings common to all daemons
+ * @param callerAddress address for callers, {@code host:port}
+ * @param adminAddress address for health checks and metrics, {@code host:port}
+ * @param slotsPerBackendServer number of requests that one backend server runs
+ * concurrently
+ * @param connectionsPerBackendServer maximum number of connections of all gateways
+ * together to one backend server
+ * @param gateways number of gateways that run at the same time, not counting one that is
+ * being replaced
+ * @param maximumWaiting maximum number of requests that wait for a slot, per service
+ * @param attemptLimitMillis maximum duration of one attempt of a repeatable request, in
+ * milliseconds
+ * @param drainMillis maximum time that a planned stop waits for requests in flight, in
  * milliseconds
- * @param drainMillis how long a planned stop waits for work in flight, in milliseconds
  */
 public record GatewaySettings(NodeSettings node, String callerAddress, String adminAddress, int slotsPerBackendServer,
 		int connectionsPerBackendServer, int gateways, int maximumWaiting, int attemptLimitMillis,
@@ -45,9 +47,10 @@
 	}
 
 	/**
-	 * The most requests in flight from this gateway to one backend server. Each has a
-	 * connection of its own, so the gateways together stay below the ceiling, also while
-	 * one of them drains and its successor serves already.
+	 * The maximum number of requests in flight from this gateway to one backend server.
+	 * Each request uses its own connection, so all gateways together stay within the
+	 * connection limit, even while one of them drains and its successor already serves
+	 * callers.
 	 * @return the count, at least 1 if the settings have no faults
 	 */
 	public int slotShare() {
--- a/monsoonrelay-gateway/src/main/java/org/monsoonrelay/gateway/RawCookie.java
+++ b/monsoonrelay-gateway/src/main/java/org/monsoonrelay/gateway/RawCookie.java
@@ -3,8 +3,8 @@
 import io.jooby.Cookie;
 
 /**
- * A {@code Set-Cookie} line passed on as the backend server wrote it. Not thread-safe:
- * used by one answer.
+ * A {@code Set-Cookie} line that is forwarded unchanged from the backend server. Not
+ * thread-safe: used by one response.
  */
 final class RawCookie extends Cookie {
 
--- a/monsoonrelay-gateway/src/main/java/org/monsoonrelay/gateway/RequestMemoryLimiter.java
+++ b/monsoonrelay-gateway/src/main/java/org/monsoonrelay/gateway/RequestMemoryLimiter.java
@@ -3,9 +3,9 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Counts the bytes of the requests that the gateway holds, so that a flood of large
- * bodies is refused before it fills the heap. Invariant: never more than the limitBytes.
- * Thread-safe.
+ * Limits the total size of request bodies in memory, so that a flood of large bodies is
+ * refused before it fills the heap. Invariant: the bytes acquired by admitted requests
+ * never exceed the limit. Thread-safe.
  */
 final class RequestMemoryLimiter {
 
@@ -18,9 +18,9 @@
 	}
 
 	/**
-	 * Hold a request, to be released once.
-	 * @param bytes its size
-	 * @return {@code false} if there is no room for it
+	 * Acquire memory for a request body, which must be released once.
+	 * @param bytes size of the body
+	 * @return {@code false} if the limit would be exceeded
 	 */
 	boolean tryAcquire(long bytes) {
 		if (this.usedBytes.addAndGet(bytes) <= this.limitBytes) {
--- a/monsoonrelay-gateway/src/main/java/org/monsoonrelay/gateway/UnknownOutcomeLog.java
+++ b/monsoonrelay-gateway/src/main/java/org/monsoonrelay/gateway/UnknownOutcomeLog.java
@@ -7,9 +7,9 @@
 import org.monsoonrelay.logic.routing.ForwardedRequest;
 
 /**
- * Logs requests whose outcome is unknown, so that an operator can look for them at the
- * backend server. Invariant: at most a fixed number of lines a second; what was left out
- * is counted in the next line. Thread-safe.
+ * Logs requests whose outcome is unknown, so that an operator can check them at the
+ * backend server. Invariant: at most a fixed number of lines per second; the next line
+ * states how many were suppressed. Thread-safe.
  */
 final class UnknownOutcomeLog {
 
@@ -43,7 +43,7 @@
 		}
 		this.remainingLines--;
 		LOGGER.log(System.Logger.Level.WARNING,
-				"outcome unknown: request {0}, service {1}, operation {2}: {3}; {4} such lines left out before",
+				"outcome unknown: request {0}, service {1}, operation {2}: {3}; {4} similar lines suppressed before",
 				request.id(), request.service(), request.operation().name(), detail, this.suppressedCount);
 		this.suppressedCount = 0;
 	}
--- a/monsoonrelay-gateway/src/main/java/org/monsoonrelay/gateway/jobs/JobGateway.java
+++ b/monsoonrelay-gateway/src/main/java/org/monsoonrelay/gateway/jobs/JobGateway.java
@@ -32,29 +32,29 @@
 import org.monsoonrelay.platform.ReadyRoute;
 
 /**
- * The gateway of a host: composition only. Thread-safe; one timer thread follows the
- * table, traffic runs on the server's and the client's threads.
+ * The gateway of a host: creates and connects its components. Thread-safe: one timer
+ * thread follows the table, requests run on the threads of the server and the client.
  */
 public final class JobGateway {
 
 	private static final int MAXIMUM_BODY_BYTES = 262_144;
 
 	/**
-	 * Least time between two reads of changed states while the owner of the pool tells
-	 * them itself: bounds what a lost message costs. Spares six gateways 60 of their 66
-	 * calls a second (worked out).
+	 * Minimum time between two reads of changed states while the owner of the pool sends
+	 * them itself. Bounds the delay caused by a lost message, and saves six gateways 60
+	 * of their 66 calls per second.
 	 */
 	private static final Duration NOTIFIED_READ_INTERVAL = Duration.ofMillis(700);
 
 	/**
-	 * The same once that has gone on for a while. A call brings the whole progress of
-	 * each job that changed, once however often it did.
+	 * The same interval for a steady owner. A call returns the complete progress of each
+	 * changed job once, however often it changed.
 	 */
 	private static final Duration STEADY_READ_INTERVAL = Duration.ofMillis(2000);
 
 	/**
-	 * The same while the owner is not heard of; a state read by a caller is this much
-	 * older at most.
+	 * The same interval while the owner is unresponsive. A state returned to a caller is
+	 * older by at most this time.
 	 */
 	private static final Duration UNNOTIFIED_READ_INTERVAL = Duration.ofMillis(90);
 
@@ -64,13 +64,16 @@
 
 	private static final int STORAGE_CHECK_MILLIS = 50;
 
-	/** Greater than the name of any host. */
+	/** Sorts after the name of every host. */
 	private static final String AFTER_LAST_HOST = "~";
 
-	/** A stopping gateway leaves when no request has come for this long. */
+	/** Time without requests after which a stopping gateway closes, in milliseconds. */
 	private static final long IDLE_MILLIS = 1500;
 
-	/** Time kept back from the platform's limit for a planned stop, milliseconds. */
+	/**
+	 * Part of the platform's time limit for a planned stop that is reserved for closing,
+	 * in milliseconds.
+	 */
 	private static final long STOP_MARGIN_MILLIS = 900;
 
 	private final HostSettings settings;
@@ -100,10 +103,10 @@
 	 * @param settings the host's settings
 	 * @param table the platform's table
 	 * @param configuration the configuration in force
-	 * @param network the other hosts
-	 * @param metrics takes counters and times
-	 * @param log takes decisions
-	 * @param unreadable takes note of rows that cannot be read
+	 * @param network the network of the hosts
+	 * @param metrics receives counters and timers
+	 * @param log receives decisions
+	 * @param unreadable records unreadable rows
 	 */
 	public JobGateway(HostSettings settings, PartitionedTable table, ConfigurationFollower configuration,
 			PeerNetwork network, MetricRegistry metrics, DecisionLog log, UnreadableRows unreadable) {
@@ -131,7 +134,7 @@
 	}
 
 	/**
-	 * Note that the table has answered something.
+	 * Record that the table has answered a call.
 	 */
 	public void tableAnswered() {
 		this.storage.recordResponse();
@@ -145,7 +148,7 @@
 		return this.ownerLink.isOwnerResponsive() ? NOTIFIED_READ_INTERVAL : UNNOTIFIED_READ_INTERVAL;
 	}
 
-	// There is no such row, so that the answer is small.
+	// No such row exists, so that the answer is small.
 	private void probeTable() {
 		this.table.read(JobTables.HOSTS, "", AFTER_LAST_HOST, 1).whenComplete((page, failure) -> {
 			if (failure != null) {
@@ -159,8 +162,8 @@
 	}
 
 	/**
-	 * Why callers had better go elsewhere.
-	 * @return the reason, empty if they may come
+	 * Why the gateway is not ready for callers.
+	 * @return the reason, empty if it is ready
 	 */
 	public Optional<String> notReady() {
 		if (this.drain.isStopping()) {
@@ -176,7 +179,7 @@
 	}
 
 	/**
-	 * Begin to serve.
+	 * Start serving callers.
 	 */
 	public void start() {
 		this.statesFollower.start();
@@ -187,16 +190,16 @@
 	}
 
 	/**
-	 * Take in a one-way message of a peer.
+	 * Handle a one-way message of a peer.
 	 * @param message the message
-	 * @return whether a gateway takes such a message
+	 * @return whether gateways handle this kind of message
 	 */
 	public boolean handleNotification(Envelope message) {
 		return this.ownerLink.handleNotification(message);
 	}
 
 	/**
-	 * Do a write for a host that the table turns away.
+	 * Execute a write for a host whose writes the table rejects.
 	 * @param request the host's request
 	 * @return the reply
 	 */
@@ -205,7 +208,7 @@
 	}
 
 	/**
-	 * Let a few exchanges fail, so that the classes on their way are loaded.
+	 * Make a few calls that fail, so that the classes they use are loaded.
 	 */
 	public void train() {
 		JsonHttpClient client = new JsonHttpClient(Duration.ofSeconds(1), Duration.ofSeconds(1), 2);
@@ -218,8 +221,8 @@
 	}
 
 	/**
-	 * Tell the platform to send callers elsewhere and serve those that still come, until
-	 * none does or the time for a planned stop is over.
+	 * Report that this gateway is not ready, and serve the requests that still arrive,
+	 * until none does or the time for a planned stop is over.
 	 */
 	public void drain() {
 		long startNanos = System.nanoTime();
@@ -240,7 +243,9 @@
 		}
 	}
 
-	// Each job sets timers for its caller's whole time and mostly cancels them at once.
+	// Each job sets timers for the whole waiting time of its caller and cancels most of
+	// them
+	// soon, so cancelled timers are removed at once.
 	private static ScheduledExecutorService createTimer() {
 		ScheduledThreadPoolExecutor timer = new ScheduledThreadPoolExecutor(1, (task) -> new Thread(task, "timer"));
 		timer.setRemoveOnCancelPolicy(true);
@@ -248,7 +253,7 @@
 	}
 
 	/**
-	 * Close at once.
+	 * Close immediately.
 	 */
 	public void close() {
 		this.callers.close();
--- a/monsoonrelay-gateway/src/main/java/org/monsoonrelay/gateway/jobs/OwnerLink.java
+++ b/monsoonrelay-gateway/src/main/java/org/monsoonrelay/gateway/jobs/OwnerLink.java
@@ -35,27 +35,30 @@
 import org.monsoonrelay.model.submission.SubmissionState;
 
 /**
- * A gateway's short way to the owner of the pool and back: what is stored here is told to
- * the owner, what the owner made durable is told to callers, without a feed of the table
- * between. Beside a table that takes 250 ms for a call each of the two ways saves as
- * much. Nothing depends on a message: the feeds bring everything as well. Thread-safe.
+ * Exchanges messages directly between a gateway and the owner of the pool, without
+ * waiting for a feed of the table: the owner is notified of stored jobs, and the gateway
+ * of states that the owner has made durable. With a table that takes 250 ms for a call,
+ * each direction saves that much. A lost message is harmless: the feeds deliver the same
+ * changes. Thread-safe.
  */
 final class OwnerLink implements StoredJobListener, CommitRelay {
 
 	/**
-	 * How long the last heartbeat of an owner counts, milliseconds; one is sent about
-	 * every 100 ms.
+	 * Time without a heartbeat after which an owner is unresponsive, in milliseconds. One
+	 * is sent about every 100 ms.
 	 */
 	private static final long HEARTBEAT_EXPIRY_MILLIS = 500;
 
-	/** How long an owner has to be heard of to count as steady, milliseconds. */
+	/**
+	 * Time with continuous heartbeats after which an owner is steady, in milliseconds.
+	 */
 	private static final long STEADY_AFTER_MILLIS = 4000;
 
 	private static final String OWNER = "owner of the pool";
 
 	/**
-	 * How long another host may take for a write. Callers wait 3 s in all, and this one
-	 * has tried before.
+	 * Maximum time for a write through another host. Callers wait 3 s in total, and this
+	 * host has tried the write before.
 	 */
 	private static final Duration RELAY_TIMEOUT = Duration.ofMillis(1000);
 
@@ -77,12 +80,13 @@
 
 	/**
 	 * Create a link.
-	 * @param self this host
-	 * @param network the other hosts
-	 * @param states takes what the owner made durable
-	 * @param nanoTime the steady clock
-	 * @param log takes what becomes of writes through the owner
-	 * @param onOwnerWrite called when an owner on another host is heard to have written
+	 * @param self address of this host
+	 * @param network the network of the hosts
+	 * @param states receives the states that the owner has made durable
+	 * @param nanoTime the monotonic clock, in nanoseconds
+	 * @param log receives the outcome of writes through the owner
+	 * @param onOwnerWrite called when a heartbeat shows that an owner on another host has
+	 * written
 	 */
 	OwnerLink(HostAddress self, PeerNetwork network, JobStates states, LongSupplier nanoTime, DecisionLog log,
 			Runnable onOwnerWrite) {
@@ -95,9 +99,9 @@
 	}
 
 	/**
-	 * Whether an owner was heard of just now, so that its news arrive sooner than the
-	 * feed's.
-	 * @return {@code true} if so
+	 * Whether an owner has sent a recent heartbeat, so that its notifications arrive
+	 * sooner than changes from the feed.
+	 * @return {@code true} if the last heartbeat has not expired
 	 */
 	boolean isOwnerResponsive() {
 		boolean isOwnerResponsive = this.owner.filter(this::hasRecentHeartbeat).isPresent();
@@ -110,9 +114,9 @@
 	}
 
 	/**
-	 * Whether the same owner has been heard of for a while, so that it has had the time
-	 * to connect to this host.
-	 * @return {@code true} if so
+	 * Whether the same owner has sent heartbeats long enough to have connected to this
+	 * host.
+	 * @return {@code true} if the owner is responsive and steady
 	 */
 	boolean isOwnerSteady() {
 		return isOwnerResponsive()
@@ -172,7 +176,7 @@
 	}
 
 	/**
-	 * Do a write for a host that the table turns away.
+	 * Execute a write for a host whose writes the table rejects.
 	 * @param request the host's request
 	 * @param table the table
 	 * @return the reply
@@ -201,9 +205,9 @@
 	}
 
 	/**
-	 * Take in a one-way message.
+	 * Handle a one-way message.
 	 * @param message the message
-	 * @return whether it was news of an owner
+	 * @return whether it was a message of an owner
 	 */
 	boolean handleNotification(Envelope message) {
 		switch (message.getBodyCase()) {
--- a/monsoonrelay-gateway/src/main/java/org/monsoonrelay/gateway/jobs/package-info.java
+++ b/monsoonrelay-gateway/src/main/java/org/monsoonrelay/gateway/jobs/package-info.java
@@ -1,4 +1,4 @@
 /**
- * The gateway of a cell that runs submitted jobs: composition only.
+ * The gateway of a cell that runs submitted jobs: creates and connects its components.
  */
 package org.monsoonrelay.gateway.jobs;
--- a/monsoonrelay-gateway/src/main/java/org/monsoonrelay/gateway/package-info.java
+++ b/monsoonrelay-gateway/src/main/java/org/monsoonrelay/gateway/package-info.java
@@ -1,4 +1,4 @@
 /**
- * The gateway: takes callers' requests and forwards them to backend servers.
+ * The gateway: accepts requests from callers and forwards them to backend servers.
  */
 package org.monsoonrelay.gateway;
--- a/monsoonrelay-gateway/src/test/java/org/monsoonrelay/gateway/CallerRoutesTests.java
+++ b/monsoonrelay-gateway/src/test/java/org/monsoonrelay/gateway/CallerRoutesTests.java
@@ -103,7 +103,7 @@
 			Attempt attempt = new Attempt(request, new CompletableFuture<>());
 			this.attempts.add(attempt);
 			return attempt.result();
-		}, new TableThatIsDown(), Clock.systemUTC());
+		}, new UnreachableTable(), Clock.systemUTC());
 		gatewayServices.updateHosts(new HostList(1, List.of(new Host("server", new HostAddress("10.0.0.1", 80),
 				HostKind.BACKEND_SERVER, "1", "a", "rack", "desk", HostState.LIVE, new Resources(0, 0, 0)))));
 		return gatewayServices;
@@ -125,8 +125,9 @@
 	}
 
 	/**
-	 * The client is called before the router listens for the result; only then does
-	 * completing it run the router's part on the test's own thread.
+	 * Waits until the router has registered for the result, which happens after the call
+	 * of the client. Only then does completing the result run the router's code on the
+	 * thread of the test.
 	 */
 	private static void awaitRouterOf(Attempt attempt) {
 		while (attempt.result().getNumberOfDependents() == 0) {
@@ -163,7 +164,7 @@
 	}
 
 	/**
-	 * One attempt on the wire.
+	 * An attempt that was sent to a backend server.
 	 *
 	 * @param request what was sent
 	 * @param result completed by the test
@@ -173,9 +174,9 @@
 	}
 
 	/**
-	 * A table that cannot be reached.
+	 * An unreachable table.
 	 */
-	private static final class TableThatIsDown implements TableService {
+	private static final class UnreachableTable implements TableService {
 
 		@Override
 		public CompletableFuture<Optional<Row>> read(String key) {
@@ -210,7 +211,7 @@
 		}
 
 		@Test
-		void leaveNothingOnADisk() throws IOException {
+		void areNotWrittenToDisk() throws IOException {
 			String most = "f000\r\n" + "x".repeat(0xf000) + "\r\n";
 			CallerRoutesTests.this.caller.send(post("Transfer-Encoding: chunked\r\n", most));
 
@@ -221,7 +222,7 @@
 		}
 
 		@Test
-		void takeNoThreadEach() throws IOException {
+		void doNotOccupyOneThreadEach() throws IOException {
 			CallerRoutesTests.this.caller.send("POST ").read();
 			int before = Thread.getAllStackTraces().size();
 			List<RawCaller> slow = new ArrayList<>();
@@ -240,10 +241,10 @@
 	}
 
 	@Nested
-	class CallersThatLeave {
+	class CallersThatDisconnect {
 
 		@Test
-		void getTheirAnswerWhenTheyHaveOnlyClosedTheirSendingSide() throws Exception {
+		void getTheirAnswerAfterClosingOnlyTheirSendingSide() throws Exception {
 			CallerRoutesTests.this.caller.post(CONFIRM, "", "x").halfClose();
 			answerNext("whole");
 
@@ -252,7 +253,7 @@
 		}
 
 		@Test
-		void areClosedWhenTheirRequestIsNotWhole() throws IOException {
+		void areDisconnectedWhenTheirRequestIsIncomplete() throws IOException {
 			CallerRoutesTests.this.caller.send(post("Content-Length: 2\r\n", "x")).halfClose();
 
 			assertThat(CallerRoutesTests.this.caller.isClosedByGateway()).isTrue();
@@ -291,7 +292,7 @@
 
 		@ParameterizedTest
 		@ValueSource(strings = { "application/x-www-form-urlencoded", "multipart/form-data; boundary=x", "text/plain" })
-		void belongToRequestsWhoseBodiesAreWhole(String type) throws Exception {
+		void belongToRequestsWithUnchangedBodies(String type) throws Exception {
 			String body = "--x\r\nContent-Disposition: form-data; name=\"a\"\r\n\r\nb=1&c=2\r\n--x--\r\n";
 			CallerRoutesTests.this.caller.post(CONFIRM, "Content-Type: " + type + "\r\n", body);
 
@@ -302,7 +303,7 @@
 		}
 
 		@Test
-		void leaveInTheOrderOfTheirRequests() throws Exception {
+		void areSentInTheOrderOfTheirRequests() throws Exception {
 			CallerRoutesTests.this.caller.send(post("Content-Length: 1\r\n", "1") + post("Content-Length: 1\r\n", "2"));
 			Attempt first = CallerRoutesTests.this.attempts.take();
 			Attempt second = CallerRoutesTests.this.attempts.poll(100, TimeUnit.MILLISECONDS);
@@ -319,7 +320,7 @@
 		}
 
 		@Test
-		void thatAreUnknownNameTheRequest() throws Exception {
+		void nameTheRequestWhenItsOutcomeIsUnknown() throws Exception {
 			CallerRoutesTests.this.caller.post(CONFIRM, "", "x");
 			CallerRoutesTests.this.attempts.take().result().complete(new AttemptResult.Incomplete(false, "reset"));
 
--- a/monsoonrelay-gateway/src/test/java/org/monsoonrelay/gateway/GatewayServicesTests.java
+++ b/monsoonrelay-gateway/src/test/java/org/monsoonrelay/gateway/GatewayServicesTests.java
@@ -70,10 +70,10 @@
 	}
 
 	@Nested
-	class WhenThePlatformIsCutOff {
+	class WhenThePlatformIsUnreachable {
 
 		@Test
-		void requestsGoToTheServersThatWereListedLast() {
+		void requestsGoToTheServersOfTheLastHostList() {
 			GatewayServicesTests.this.services.updateHosts(list(5, host(1, "1-start-1")));
 
 			assertThat(lookup(GatewayServicesTests.this.services)).isInstanceOf(RequestOutcome.Answered.class);
@@ -81,7 +81,7 @@
 		}
 
 		@Test
-		void aListOfALowerVersionReadAfterwardsChangesNothing() {
+		void aLaterHostListWithALowerVersionIsIgnored() {
 			GatewayServicesTests.this.services.updateHosts(list(5, host(1, "1-start-1")));
 			lookup(GatewayServicesTests.this.services);
 
@@ -93,10 +93,10 @@
 	}
 
 	@Nested
-	class WhenAServerSaysThatItLeaves {
+	class WhenAServerReportsThatItIsLeaving {
 
 		@Test
-		void otherGatewaysSendItNothingAfterOneAnnouncement() {
+		void otherGatewaysSendItNoRequestAfterOneAnnouncement() {
 			GatewayServices peer = services();
 			GatewayServicesTests.this.services.updateHosts(list(5, host(1, "1-start-1"), host(2, "2-start-1")));
 			peer.updateHosts(list(5, host(1, "1-start-1"), host(2, "2-start-1")));
--- a/monsoonrelay-gateway/src/test/java/org/monsoonrelay/gateway/GatewaySettingsTests.java
+++ b/monsoonrelay-gateway/src/test/java/org/monsoonrelay/gateway/GatewaySettingsTests.java
@@ -17,7 +17,7 @@
 
 class GatewaySettingsTests {
 
-	private static final String GOOD = """
+	private static final String VALID_SETTINGS = """
 			{"node": {"name": "g1", "failureDomain": "north", "peerAddress": "127.0.0.1:7001",
 			"platform": "127.0.0.1:7100", "peers": [], "secret": "cell-secret"},
 			"callerAddress": "127.0.0.1:8001", "adminAddress": "127.0.0.1:8002", "slotsPerBackendServer": 8,
@@ -33,17 +33,18 @@
 	}
 
 	@Test
-	void rightSettingsAreReadAndPrintedWithoutSecrets() throws IOException {
-		assertThat(SettingsPrinter.print(read(GOOD))).contains("127.0.0.1:8001").doesNotContain("cell-secret");
+	void validSettingsAreReadAndPrintedWithoutSecrets() throws IOException {
+		assertThat(SettingsPrinter.print(read(VALID_SETTINGS))).contains("127.0.0.1:8001")
+			.doesNotContain("cell-secret");
 	}
 
 	@Test
-	void everyFaultIsNamedAtOnceWithItsPlace() {
-		String bad = GOOD.replace("127.0.0.1:8002", "127.0.0.1:8001")
+	void allFaultsAreReportedTogetherWithTheirPaths() {
+		String invalidSettings = VALID_SETTINGS.replace("127.0.0.1:8002", "127.0.0.1:8001")
 			.replace("\"127.0.0.1:7100\"", "\"platform.example:80\"")
 			.replace("\"slotsPerBackendServer\": 8", "\"slotsPerBackendServer\": 0, \"colour\": \"red\"");
 
-		assertThatThrownBy(() -> read(bad)).isInstanceOf(SettingsException.class)
+		assertThatThrownBy(() -> read(invalidSettings)).isInstanceOf(SettingsException.class)
 			.message()
 			.contains("/colour: unknown key", "/adminAddress: the same address as /callerAddress",
 					"/slotsPerBackendServer: must have a minimum value of 1",
@@ -52,9 +53,9 @@
 
 	@ParameterizedTest
 	@CsvSource({ "8, 60, 7, 7", "8, 60, 6, 8", "8, 16, 7, 2", "8, 60, 1, 8", "64, 61, 7, 7" })
-	void allGatewaysAndOneThatIsBeingReplacedStayBelowTheCeiling(int slots, int connections, int gateways, int share)
+	void allGatewaysAndOneReplacementStayWithinTheConnectionLimit(int slots, int connections, int gateways, int share)
 			throws IOException {
-		GatewaySettings settings = read(GOOD.replace("Server\": 8,", "Server\": " + slots + ",")
+		GatewaySettings settings = read(VALID_SETTINGS.replace("Server\": 8,", "Server\": " + slots + ",")
 			.replace("60", Integer.toString(connections))
 			.replace("7,\n", gateways + ",\n"));
 
@@ -63,8 +64,8 @@
 	}
 
 	@Test
-	void aCeilingThatLeavesAGatewayWithoutAConnectionIsRefused() {
-		assertThatThrownBy(() -> read(GOOD.replace("60", "7"))).isInstanceOf(SettingsException.class)
+	void aConnectionLimitThatLeavesAGatewayWithoutAConnectionIsRejected() {
+		assertThatThrownBy(() -> read(VALID_SETTINGS.replace("60", "7"))).isInstanceOf(SettingsException.class)
 			.message()
 			.contains(
 					"/connectionsPerBackendServer: must allow one connection for each of the 7 gateways and one more");
--- a/monsoonrelay-gateway/src/test/java/org/monsoonrelay/gateway/RawCaller.java
+++ b/monsoonrelay-gateway/src/test/java/org/monsoonrelay/gateway/RawCaller.java
@@ -8,17 +8,17 @@
 import org.monsoonrelay.model.host.HostAddress;
 
 /**
- * A caller that sends what it likes, byte for byte. Not thread-safe.
+ * A caller that sends arbitrary text over a socket. Not thread-safe.
  */
 final class RawCaller implements AutoCloseable {
 
-	private static final int PATIENCE_MILLIS = 10_000;
+	private static final int READ_TIMEOUT_MILLIS = 10_000;
 
 	private final Socket socket;
 
 	RawCaller(HostAddress gateway) throws IOException {
 		this.socket = new Socket(gateway.host(), gateway.port());
-		this.socket.setSoTimeout(PATIENCE_MILLIS);
+		this.socket.setSoTimeout(READ_TIMEOUT_MILLIS);
 	}
 
 	RawCaller send(String text) throws IOException {
@@ -38,9 +38,9 @@
 	}
 
 	/**
-	 * Read one answer.
+	 * Read one response.
 	 * @return its head and body, empty if the connection was closed first
-	 * @throws IOException if it does not come in time
+	 * @throws IOException if it does not arrive in time
 	 */
 	String read() throws IOException {
 		InputStream in = this.socket.getInputStream();
--- a/monsoonrelay-gateway/src/test/java/org/monsoonrelay/gateway/RequestMemoryLimiterTests.java
+++ b/monsoonrelay-gateway/src/test/java/org/monsoonrelay/gateway/RequestMemoryLimiterTests.java
@@ -9,7 +9,7 @@
 	private final RequestMemoryLimiter limiter = new RequestMemoryLimiter(10);
 
 	@Test
-	void haveNoRoomBeyondTheirLimitUntilSomeAreReleased() {
+	void refusesBytesBeyondTheLimitUntilSomeAreReleased() {
 		assertThat(this.limiter.tryAcquire(8)).isTrue();
 		assertThat(this.limiter.tryAcquire(3)).isFalse();
 		assertThat(this.limiter.tryAcquire(2)).isTrue();
--- a/monsoonrelay-gateway/src/test/java/org/monsoonrelay/gateway/UnknownOutcomeLogTests.java
+++ b/monsoonrelay-gateway/src/test/java/org/monsoonrelay/gateway/UnknownOutcomeLogTests.java
@@ -19,7 +19,7 @@
 	private Instant now = Instant.parse("2026-12-02T06:00:00Z");
 
 	@Test
-	void writesTenLinesASecondAndCountsWhatItLeavesOut() {
+	void writesTenLinesPerSecondAndCountsSuppressedLines() {
 		ListAppender<ILoggingEvent> lines = new ListAppender<>();
 		lines.start();
 		((Logger) LoggerFactory.getLogger(UnknownOutcomeLog.class)).addAppender(lines);
@@ -35,7 +35,7 @@
 
 		assertThat(lines.list).hasSize(11);
 		assertThat(lines.list.get(10).getFormattedMessage()).contains("request request-1", "service desk",
-				"operation confirm", "15 such lines left out");
+				"operation confirm", "15 similar lines suppressed");
 	}
 
 }
--- a/monsoonrelay-gateway/src/test/java/org/monsoonrelay/gateway/jobs/OwnerLinkTests.java
+++ b/monsoonrelay-gateway/src/test/java/org/monsoonrelay/gateway/jobs/OwnerLinkTests.java
@@ -93,8 +93,9 @@
 	private final OwnerLink link = new OwnerLink(SELF.address(), this.network, this.states, () -> this.nowNanos,
 			DecisionLog.NONE, () -> this.ownerWrites++);
 
-	// An address that other processes do not use: a port that is free at 127.0.0.1 may be
-	// taken by any outgoing connection before it is listened at.
+	// An address that other processes do not use: a free port at 127.0.0.1 may be taken
+	// by any
+	// outgoing connection before the test listens at it.
 	private static HostAddress freeAddress() {
 		long pid = ProcessHandle.current().pid();
 		String address = "127.%d.%d.1".formatted(1 + pid % 250, pid / 250 % 250);
@@ -139,7 +140,7 @@
 	}
 
 	@Test
-	void jobsAndCancellationsGoToTheOwnerThatWasHeardOf() throws InterruptedException {
+	void jobsAndCancellationsAreSentToTheOwnerWithARecentHeartbeat() throws InterruptedException {
 		receiveHeartbeat(3);
 		this.link.jobAccepted(job("a"), 17);
 		Envelope accepted = this.received.poll(10, TimeUnit.SECONDS);
@@ -150,7 +151,7 @@
 	}
 
 	@Test
-	void anOwnerThatIsSilentIsNotFreshAndGetsNothing() throws InterruptedException {
+	void anUnresponsiveOwnerIsSentNothing() throws InterruptedException {
 		assertThat(this.link.isOwnerResponsive()).isFalse();
 		receiveHeartbeat(3);
 		assertThat(this.link.isOwnerResponsive()).isTrue();
@@ -163,7 +164,7 @@
 	}
 
 	@Test
-	void onlyAnOwnerWhoseRowHasMovedOnCountsAsOneThatWrites() {
+	void onlyANewVersionOfTheOwnerRowCountsAsAWrite() {
 		receiveHeartbeat(3, 17);
 		receiveHeartbeat(3, 17);
 		assertThat(this.ownerWrites).isEqualTo(1);
@@ -172,7 +173,7 @@
 	}
 
 	@Test
-	void aWriteIsDoneByTheOwnerAsItIs() {
+	void aWriteIsExecutedUnchangedByTheOwner() {
 		PartitionWrite write = PartitionWrite.to("jobs-1").onVersion("jobs", "a", 0).put("jobs", "a", "{}");
 		assertThat(this.link.relay(write)).isEmpty();
 		receiveHeartbeat(3);
@@ -187,7 +188,7 @@
 	}
 
 	@Test
-	void aWriteToAnOwnerThatIsGoneIsUnknown() {
+	void aWriteThroughAClosedOwnerIsUnknown() {
 		receiveHeartbeat(3);
 		this.owner.close();
 		PartitionWrite write = PartitionWrite.to("jobs-1").put("jobs", "a", "{}");
@@ -195,7 +196,7 @@
 	}
 
 	@Test
-	void signsOfLifeOfAFormerOwnerDoNotCount() {
+	void heartbeatsOfAFormerOwnerAreIgnored() {
 		receiveHeartbeat(3);
 		this.nowNanos += TimeUnit.SECONDS.toNanos(1);
 		receiveHeartbeat(2);
@@ -203,7 +204,7 @@
 	}
 
 	@Test
-	void whatTheOwnerMadeDurableIsKnownHere() {
+	void statesSentByTheOwnerAreKnownToTheGateway() {
 		StatesNews news = StatesNews.newBuilder()
 			.setEpoch(3)
 			.addJobs(JobNews.newBuilder().setJob("a").setState("COMPLETED"))
--- a/monsoonrelay-host/src/main/java/org/monsoonrelay/host/Host.java
+++ b/monsoonrelay-host/src/main/java/org/monsoonrelay/host/Host.java
@@ -29,9 +29,9 @@
 import org.monsoonrelay.scheduler.pool.PoolScheduler;
 
 /**
- * The process of a host: a gateway and a scheduler that share the connections, the log
- * and the virtual machine: a second process on a part of a core would delay the next
- * owner after a loss of power. Composition only. Thread-safe.
+ * The process of a host: a gateway and a scheduler that share connections, log and
+ * virtual machine, because a second process on a part of a core would delay the next
+ * owner after a power loss. Only creates and connects components. Thread-safe.
  */
 final class Host implements HostProcess {
 
@@ -42,8 +42,8 @@
 	private static final int METRICS_PORT = 9464;
 
 	/**
-	 * Metrics are served this long after the start, seconds: a start is short of
-	 * processor time.
+	 * Delay after the start before metrics are served, in seconds: processor time is
+	 * scarce during a start.
 	 */
 	private static final long METRICS_DELAY_SECONDS = 2;
 
@@ -83,7 +83,7 @@
 	}
 
 	private CompletableFuture<Envelope.Builder> handle(Envelope message) {
-		// An owner's heartbeat is news for both.
+		// Both handle an owner's heartbeat.
 		boolean isForGateway = this.gateway.handleNotification(message);
 		boolean isForScheduler = this.scheduler.handleNotification(message);
 		if (isForGateway || isForScheduler) {
@@ -125,7 +125,7 @@
 		this.log.write(new ProcessDecision.SettingsReloaded(ROLE, outcome));
 	}
 
-	// Gives the pool up while callers are still served.
+	// Releases the pool while callers are still served.
 	@Override
 	public void stop() {
 		long startNanos = System.nanoTime();
--- a/monsoonrelay-host/src/main/java/org/monsoonrelay/host/HostMain.java
+++ b/monsoonrelay-host/src/main/java/org/monsoonrelay/host/HostMain.java
@@ -5,10 +5,10 @@
 import picocli.CommandLine.Command;
 
 /**
- * The command line of the program that runs on every host.
+ * Command line of the program that runs on every host.
  */
 @Command(name = HostMain.NAME, mixinStandardHelpOptions = true, version = "0.1.0",
-		description = "Takes jobs from callers, tells what became of them, and stands ready to run them.")
+		description = "Accepts jobs from callers, reports their states, and schedules them when it owns the pool.")
 public final class HostMain extends HostProgram {
 
 	static final String NAME = "monsoonrelay-host";
@@ -18,7 +18,7 @@
 	}
 
 	/**
-	 * Run until told to stop.
+	 * Run until the process is asked to stop.
 	 * @param arguments the command line
 	 */
 	public static void main(String[] arguments) {
--- a/monsoonrelay-host/src/main/java/org/monsoonrelay/host/PeerTraining.java
+++ b/monsoonrelay-host/src/main/java/org/monsoonrelay/host/PeerTraining.java
@@ -19,8 +19,8 @@
 
 /**
  * A peer that exchanges messages with a host in a training run, so that the classes of
- * messages and their codec are loaded. Its news are those of no epoch, which change
- * nothing. Stateless.
+ * messages and their codec are loaded. Its notifications have no epoch and therefore
+ * change nothing. Stateless.
  */
 final class PeerTraining {
 
@@ -32,7 +32,7 @@
 	}
 
 	/**
-	 * Exchange messages, in both directions.
+	 * Exchange messages in both directions.
 	 * @param settings the host's settings
 	 * @param host the host's network
 	 */
--- a/monsoonrelay-host/src/test/java/org/monsoonrelay/host/HostTests.java
+++ b/monsoonrelay-host/src/test/java/org/monsoonrelay/host/HostTests.java
@@ -27,7 +27,7 @@
 
 	private final HttpClient client = HttpClient.newHttpClient();
 
-	// Another run of this test beside this one listens elsewhere.
+	// Concurrent runs of this test listen at different ports.
 	private static int firstPort() {
 		long run = ProcessHandle.current().pid() % MAXIMUM_RUNS;
 		return FIRST_PORT + PORTS_PER_RUN * (int) run;
@@ -38,12 +38,12 @@
 	}
 
 	@Test
-	void bringsNoNativeCodeBesideTheJdks() {
+	void containsNoNativeCodeBesidesTheJdk() {
 		assertThat(getClass().getClassLoader().getResource("META-INF/native")).isNull();
 	}
 
 	@Test
-	void trainingRunBringsAJobFromItsCallerToAWorkerAndBack() {
+	void trainingRunCompletesAJobOnAWorker() {
 		PrintStream console = System.out;
 		ByteArrayOutputStream output = new ByteArrayOutputStream();
 		System.setOut(new PrintStream(output, true, StandardCharsets.UTF_8));
@@ -60,7 +60,7 @@
 	}
 
 	@Test
-	void whoseTableCannotBeReachedIsNotReadyRefusesAndStopsWhenAsked() throws Exception {
+	void hostWithUnreachableTableIsNotReadyRefusesJobsAndStopsOnRequest() throws Exception {
 		Host host = new Host(this.settings);
 		host.start();
 		try {
--- a/monsoonrelay-host/src/test/java/org/monsoonrelay/host/ReleaseTests.java
+++ b/monsoonrelay-host/src/test/java/org/monsoonrelay/host/ReleaseTests.java
@@ -21,13 +21,13 @@
 	private Path directory;
 
 	/**
-	 * A host ends with code 134 when a release is written over the one that it runs from.
-	 * The class archive is mapped into the process, and a page that goes or changes under
-	 * it is a bus error: the report said SIGBUS for five of six starts whose archive was
-	 * written over in place, and none of six ended whose archive was replaced.
+	 * Guards against a host that ends with code 134 (SIGBUS) when a release is installed
+	 * over the running one. The class archive is mapped into the process, and a page that
+	 * is removed or changed in place causes a bus error. It ended five of six starts
+	 * whose archive was overwritten in place, and none of six whose archive was replaced.
 	 */
 	@Test
-	void fileThatIsMappedKeepsItsBytesWhenAnotherTakesItsPlace() throws Exception {
+	void mappedFileKeepsItsBytesWhenItIsReplaced() throws Exception {
 		Path former = Files.writeString(this.directory.resolve("host.jsa"), "former");
 		Path later = Files.writeString(this.directory.resolve("built.jsa"), "later one");
 		ByteBuffer mapped = map(former);
--- a/monsoonrelay-scheduler/src/main/java/org/monsoonrelay/scheduler/CellStatusCollector.java
+++ b/monsoonrelay-scheduler/src/main/java/org/monsoonrelay/scheduler/CellStatusCollector.java
@@ -26,8 +26,8 @@
 import org.monsoonrelay.model.host.HostAddress;
 
 /**
- * Gathers the status of the whole cell from all schedulers that can be reached.
- * Thread-safe: state is read on the control thread.
+ * Collects the status of the whole cell from all reachable schedulers. Thread-safe: state
+ * is read on the control thread.
  */
 final class CellStatusCollector {
 
--- a/monsoonrelay-scheduler/src/main/java/org/monsoonrelay/scheduler/EventDelivery.java
+++ b/monsoonrelay-scheduler/src/main/java/org/monsoonrelay/scheduler/EventDelivery.java
@@ -17,9 +17,10 @@
 import org.monsoonrelay.model.host.HostAddress;
 
 /**
- * Brings the events of owned racks to the owners of the teams' queues, here or at a peer,
- * until they are acknowledged. Invariant: one delivery at a time is under way for a team.
- * Not thread-safe: confined to the control thread.
+ * Delivers the events of owned racks to the owners of the teams' queues, in this process
+ * or at a peer, and repeats them until they are acknowledged. Invariant: at most one
+ * delivery per team is in flight to a peer. Not thread-safe: confined to the control
+ * thread.
  */
 final class EventDelivery {
 
@@ -46,7 +47,7 @@
 	}
 
 	/**
-	 * Deliver what waits.
+	 * Send all events that are not yet acknowledged.
 	 */
 	void deliverPending() {
 		this.racks.unacknowledgedEvents().forEach((team, events) -> {
--- a/monsoonrelay-scheduler/src/main/java/org/monsoonrelay/scheduler/OperatorAccess.java
+++ b/monsoonrelay-scheduler/src/main/java/org/monsoonrelay/scheduler/OperatorAccess.java
@@ -8,9 +8,9 @@
 import org.monsoonrelay.scheduler.SchedulerSettings.OperatorCredential;
 
 /**
- * Tells operators by the credential they show. Invariant: a comparison takes as long for
- * a wrong credential as for a right one, and goes through all operators. Immutable and
- * thread-safe.
+ * Authenticates operators by bearer token. Invariant: a comparison takes the same time
+ * for a wrong credential as for a correct one, and all operators are compared. Immutable
+ * and thread-safe.
  */
 final class OperatorAccess {
 
@@ -23,9 +23,9 @@
 	}
 
 	/**
-	 * Find the operator.
-	 * @param authorization the header that the caller sent, empty if none
-	 * @return the operator's name, empty for strangers
+	 * Authenticate an operator.
+	 * @param authorization value of the {@code Authorization} header, empty if absent
+	 * @return the operator's name, empty if the credential is wrong
 	 */
 	Optional<String> authenticate(String authorization) {
 		byte[] presented = authorization.getBytes(StandardCharsets.UTF_8);
--- a/monsoonrelay-scheduler/src/main/java/org/monsoonrelay/scheduler/OperatorRoutes.java
+++ b/monsoonrelay-scheduler/src/main/java/org/monsoonrelay/scheduler/OperatorRoutes.java
@@ -28,7 +28,7 @@
 import org.monsoonrelay.model.control.EditKind;
 
 /**
- * The operators' side. Every route needs an operator's credential. Thread-safe.
+ * HTTP routes for operators. Every route requires an operator's credential. Thread-safe.
  */
 final class OperatorRoutes {
 
@@ -68,7 +68,8 @@
 	private Object withOperator(Context context, OperatorAction action) throws Exception {
 		Optional<String> operator = this.access.authenticate(context.header("Authorization").value(""));
 		if (operator.isEmpty()) {
-			LOGGER.log(System.Logger.Level.WARNING, "refused {0} without an operator''s credential at {1}",
+			LOGGER.log(System.Logger.Level.WARNING,
+					"rejected request of {0} at {1}: operator credential is missing or wrong",
 					context.getRemoteAddress(), context.getRequestPath());
 			Problem
 				.of("unauthorized", "Unauthorized", StatusCode.UNAUTHORIZED_CODE,
@@ -90,7 +91,7 @@
 		OptionalLong expectedTextVersion = (request.expectedTextVersion() != null)
 				? OptionalLong.of(request.expectedTextVersion()) : OptionalLong.empty();
 		LogFields.of(LogFields.OPERATOR, operator)
-			.run(() -> LOGGER.log(System.Logger.Level.INFO, "edit {0} asked for: {1}", request.editId(),
+			.run(() -> LOGGER.log(System.Logger.Level.INFO, "edit {0} submitted: {1}", request.editId(),
 					request.kind()));
 		Edit edit = new Edit(request.editId(), request.kind(), operator, request.text(), request.targets(),
 				expectedTextVersion);
@@ -151,7 +152,7 @@
 	}
 
 	/**
-	 * What a route does once the operator is known.
+	 * Handler of a route, called after the operator is authenticated.
 	 */
 	private interface OperatorAction {
 
--- a/monsoonrelay-scheduler/src/main/java/org/monsoonrelay/scheduler/PeerDirectory.java
+++ b/monsoonrelay-scheduler/src/main/java/org/monsoonrelay/scheduler/PeerDirectory.java
@@ -12,7 +12,7 @@
 import org.monsoonrelay.model.host.HostAddress;
 
 /**
- * What peers have announced of late. Not thread-safe: confined to the control thread.
+ * The latest announcement of each peer. Not thread-safe: confined to the control thread.
  */
 final class PeerDirectory {
 
@@ -27,11 +27,11 @@
 	}
 
 	/**
-	 * Take in an announcement. A process that has started anew takes the place of the
-	 * earlier one at its address, of which nothing is taken in any more.
+	 * Record an announcement. A restarted process replaces the earlier session at its
+	 * address, whose later announcements are ignored.
 	 * @param announcement the announcement
-	 * @param nowNanos monotonic time
-	 * @return sessions that are over
+	 * @param nowNanos the current monotonic time, in nanoseconds
+	 * @return the sessions that were replaced
 	 */
 	List<String> announcementReceived(Announcement announcement, long nowNanos) {
 		String session = announcement.getSession();
@@ -51,9 +51,9 @@
 	}
 
 	/**
-	 * Drop peers that have been silent too long.
-	 * @param nowNanos monotonic time
-	 * @return their sessions
+	 * Remove the peers whose last announcement is older than the expiry time.
+	 * @param nowNanos the current monotonic time, in nanoseconds
+	 * @return the sessions of the removed peers
 	 */
 	List<String> removeUnresponsive(long nowNanos) {
 		List<String> unresponsive = this.bySession.entrySet()
--- a/monsoonrelay-scheduler/src/main/java/org/monsoonrelay/scheduler/PeerRackOwners.java
+++ b/monsoonrelay-scheduler/src/main/java/org/monsoonrelay/scheduler/PeerRackOwners.java
@@ -27,8 +27,8 @@
 import org.monsoonrelay.model.worker.WorkerId;
 
 /**
- * Reaches racks' owners: this instance's directly, the others' over the peer network. Not
- * thread-safe: confined to the control thread.
+ * Sends requests to the owners of racks: by direct calls for racks owned by this process,
+ * otherwise over the peer network. Not thread-safe: confined to the control thread.
  */
 final class PeerRackOwners implements RackOwners {
 
--- a/monsoonrelay-scheduler/src/main/java/org/monsoonrelay/scheduler/QueueActivation.java
+++ b/monsoonrelay-scheduler/src/main/java/org/monsoonrelay/scheduler/QueueActivation.java
@@ -8,19 +8,19 @@
 import java.util.function.Predicate;
 
 /**
- * Decides when an owned team's queue begins to place work: once the racks' owners have
- * had time to tell what runs, or after a limit without them. Until then what runs is
- * asked for each round. Not thread-safe: confined to the control thread.
+ * Decides when the queue of an owned team starts to place tasks: once the owners of all
+ * racks have had time to report the running tasks, or after a maximum wait if some racks
+ * are unknown. Until then each round requests the running tasks again. Not thread-safe:
+ * confined to the control thread.
  */
 final class QueueActivation {
 
 	/**
-	 * How long answers to the claim are waitedNanos for if all racks are known: two
-	 * rounds.
+	 * Time to wait for reports of running tasks if all racks are known: two rounds.
 	 */
 	static final Duration CLAIM_WAIT = Duration.ofSeconds(2);
 
-	/** After this long a queue begins whoever has not told. */
+	/** Maximum time to wait, even if some owners have not reported. */
 	static final Duration MAX_WAIT = Duration.ofSeconds(10);
 
 	private final Map<String, Long> ownedSinceNanos = new TreeMap<>();
@@ -34,11 +34,11 @@
 	private final Consumer<String> claim;
 
 	/**
-	 * Begin without queues.
-	 * @param nanoTime the steady clock
-	 * @param isActive tells whether a team's queue places work
-	 * @param activate lets it do so
-	 * @param claim asks the racks' owners what runs of a team
+	 * Create an activation without queues.
+	 * @param nanoTime the monotonic clock, in nanoseconds
+	 * @param isActive whether a team's queue places tasks
+	 * @param activate activates a team's queue
+	 * @param claim requests the running tasks of a team from the owners of the racks
 	 */
 	QueueActivation(LongSupplier nanoTime, Predicate<String> isActive, Consumer<String> activate,
 			Consumer<String> claim) {
@@ -57,8 +57,9 @@
 	}
 
 	/**
-	 * Activate the queues that may begin and ask again for the others.
-	 * @param allRacksKnown whether each rack has an owner that was heard of
+	 * Activate the queues that have waited long enough and request the running tasks of
+	 * the others again.
+	 * @param allRacksKnown whether the owner of every rack is known
 	 */
 	void runRound(boolean allRacksKnown) {
 		long now = this.nanoTime.getAsLong();
--- a/monsoonrelay-scheduler/src/main/java/org/monsoonrelay/scheduler/SchedulerMain.java
+++ b/monsoonrelay-scheduler/src/main/java/org/monsoonrelay/scheduler/SchedulerMain.java
@@ -11,7 +11,7 @@
 import picocli.CommandLine.Option;
 
 /**
- * The scheduler's command line.
+ * Command line of the scheduler.
  */
 @Command(name = "monsoonrelay-scheduler", mixinStandardHelpOptions = true, version = "0.1.0",
 		description = "Places tasks on workers and answers operators.")
@@ -24,7 +24,7 @@
 	private boolean printSettings;
 
 	/**
-	 * Run a scheduler until it is told to stop.
+	 * Run a scheduler until the process is asked to stop.
 	 * @param arguments the command line
 	 */
 	public static void main(String[] arguments) {
--- a/monsoonrelay-scheduler/src/main/java/org/monsoonrelay/scheduler/SchedulerMetrics.java
+++ b/monsoonrelay-scheduler/src/main/java/org/monsoonrelay/scheduler/SchedulerMetrics.java
@@ -14,9 +14,9 @@
 import org.monsoonrelay.model.job.TaskState;
 
 /**
- * A scheduler's own metrics. They show the last sample, which the control thread takes
- * from time to time, so that reading them costs the control thread nothing. Thread-safe:
- * the sample is immutable and swapped whole.
+ * Gauges of a scheduler. They show the last sample, which the control thread takes
+ * periodically, so that reading them does not load the control thread. Thread-safe: the
+ * sample is immutable and replaced atomically.
  */
 final class SchedulerMetrics {
 
@@ -50,8 +50,8 @@
 	/**
 	 * Take a sample.
 	 * @param teams number of teams whose queues are owned
-	 * @param jobs the jobs in them
-	 * @param workers the workers of the workers in the owned racks
+	 * @param jobs status of the jobs in these queues
+	 * @param workers capacity of the workers in the owned racks
 	 * @param events number of events not yet acknowledged
 	 */
 	void takeSample(int teams, List<JobStatus> jobs, WorkersRoom workers, int events) {
--- a/monsoonrelay-scheduler/src/main/java/org/monsoonrelay/scheduler/SchedulerNode.java
+++ b/monsoonrelay-scheduler/src/main/java/org/monsoonrelay/scheduler/SchedulerNode.java
@@ -51,8 +51,9 @@
 import org.monsoonrelay.model.workload.Team;
 
 /**
- * One scheduler process: composition, and the timetable of the control thread. All
- * control state is touched by the control thread alone; traffic threads hand it tasks.
+ * A scheduler process: creates the components and schedules the periodic work of the
+ * control thread. Only the control thread accesses control state; other threads submit
+ * tasks to it.
  */
 final class SchedulerNode {
 
@@ -68,7 +69,7 @@
 
 	private static final int TICK_INTERVAL_MILLIS = 50;
 
-	/** Rows a second that all schedulers together may write of their jobs. */
+	/** Maximum number of job rows per second that all schedulers together write. */
 	private static final int JOB_ROWS_PER_SECOND = 200;
 
 	private static final int SECOND_MILLIS = 1000;
@@ -180,7 +181,7 @@
 				task.run();
 			}
 			catch (RuntimeException ex) {
-				LOGGER.log(System.Logger.Level.ERROR, "an invariant is broken; the process stops", ex);
+				LOGGER.log(System.Logger.Level.ERROR, "task of the control thread failed; halting the process", ex);
 				Runtime.getRuntime().halt(1);
 			}
 		}, 0, millis, TimeUnit.MILLISECONDS);
@@ -319,7 +320,7 @@
 	}
 
 	/**
-	 * Give up the session, then close. What runs on workers goes on under the next owner.
+	 * Release the session and close. Tasks on workers continue under the next owner.
 	 */
 	void drain() {
 		try {
--- a/monsoonrelay-scheduler/src/main/java/org/monsoonrelay/scheduler/SchedulerRequestHandler.java
+++ b/monsoonrelay-scheduler/src/main/java/org/monsoonrelay/scheduler/SchedulerRequestHandler.java
@@ -24,8 +24,8 @@
 import org.monsoonrelay.model.worker.WorkerId;
 
 /**
- * Answers the other schedulers' messages. Handlers run on the control thread; thread-safe
- * to call.
+ * Handles requests of other schedulers. Thread-safe: requests are executed on the control
+ * thread.
  */
 final class SchedulerRequestHandler {
 
--- a/monsoonrelay-scheduler/src/main/java/org/monsoonrelay/scheduler/SchedulerSettings.java
+++ b/monsoonrelay-scheduler/src/main/java/org/monsoonrelay/scheduler/SchedulerSettings.java
@@ -15,13 +15,13 @@
 /**
  * Settings of a scheduler. Immutable.
  *
- * @param node settings that every daemon has
- * @param operatorAddress where operators reach it, {@code host:port}
- * @param operators who may operate the cell
- * @param sessionLapseMillis after how long without renewal a session counts as lapsed, in
+ * @param node settings common to all daemons
+ * @param operatorAddress address for operators, {@code host:port}
+ * @param operators credentials of the operators
+ * @param sessionLapseMillis time after which a session that is not renewed expires, in
  * milliseconds
- * @param workerLeaseMillis length of the leases given to workers, in milliseconds
- * @param drainMillis how long a planned stop may take, in milliseconds
+ * @param workerLeaseMillis duration of worker leases, in milliseconds
+ * @param drainMillis maximum duration of a planned stop, in milliseconds
  */
 public record SchedulerSettings(NodeSettings node, String operatorAddress, List<OperatorCredential> operators,
 		int sessionLapseMillis, int workerLeaseMillis, int drainMillis) implements CheckedSettings {
@@ -64,7 +64,7 @@
 	 * Credential of one operator. Immutable.
 	 *
 	 * @param name the operator's name, for the audit trail
-	 * @param token the secret that the operator shows
+	 * @param token the bearer token that the operator sends
 	 */
 	public record OperatorCredential(String name, String token) {
 
--- a/monsoonrelay-scheduler/src/main/java/org/monsoonrelay/scheduler/pool/ControlThread.java
+++ b/monsoonrelay-scheduler/src/main/java/org/monsoonrelay/scheduler/pool/ControlThread.java
@@ -6,9 +6,9 @@
 import java.util.concurrent.ScheduledThreadPoolExecutor;
 
 /**
- * The one thread that owns all control state. A task that fails there means a broken
- * invariant: the failure is logged and the process stops, so that another one takes over
- * from what is durable.
+ * The single thread that owns all control state. A task that fails has violated an
+ * invariant: the failure is logged and the process halts, so that another process takes
+ * over from the durable state.
  */
 final class ControlThread extends ScheduledThreadPoolExecutor {
 
@@ -26,7 +26,7 @@
 		super.afterExecute(task, thrown);
 		Throwable failure = (thrown != null) ? thrown : failureOf(task);
 		if (failure != null) {
-			LOGGER.log(System.Logger.Level.ERROR, "control state is broken, the process stops", failure);
+			LOGGER.log(System.Logger.Level.ERROR, "task of the control thread failed; halting the process", failure);
 			Runtime.getRuntime().halt(INVARIANT_VIOLATION_EXIT_CODE);
 		}
 	}
--- a/monsoonrelay-scheduler/src/main/java/org/monsoonrelay/scheduler/pool/HostRegistry.java
+++ b/monsoonrelay-scheduler/src/main/java/org/monsoonrelay/scheduler/pool/HostRegistry.java
@@ -24,10 +24,9 @@
 import org.monsoonrelay.model.host.HostAddress;
 
 /**
- * The schedulers of this system: this one registers itself, the others are followed. A
- * host that has gone stays registered and is found out by the calls to it that fail. A
- * host whose row cannot be read is left out until it can be. Confined to the control
- * thread.
+ * Registers this host in the table and follows the rows of the other hosts. A host that
+ * has stopped stays registered and is detected by failing calls to it. A host whose row
+ * is unreadable is excluded until the row can be read. Confined to the control thread.
  */
 final class HostRegistry implements TableFollower.Listener {
 
@@ -71,7 +70,7 @@
 	}
 
 	/**
-	 * Follow the others.
+	 * Start following the rows of the other hosts.
 	 */
 	void follow() {
 		TableFollower next = new TableFollower(this.table, JobTables.HOSTS, List.of(""), POLL_INTERVAL, this.control,
@@ -81,7 +80,7 @@
 	}
 
 	/**
-	 * Follow the others no more.
+	 * Stop following the rows of the other hosts.
 	 */
 	void close() {
 		this.follower.ifPresent(TableFollower::close);
@@ -97,8 +96,8 @@
 	}
 
 	/**
-	 * The hosts that are registered, this one first.
-	 * @return their names
+	 * The registered hosts, this one first.
+	 * @return the names of the hosts
 	 */
 	List<String> hostNames() {
 		List<String> names = new ArrayList<>();
@@ -108,9 +107,9 @@
 	}
 
 	/**
-	 * The other hosts as candidates for standing ready. A process that was registered
-	 * before this one looked is taken to be ready.
-	 * @param nowNanos the current time
+	 * The other hosts as standby candidates. A process that was registered before the
+	 * initial snapshot counts as ready.
+	 * @param nowNanos the current monotonic time, in nanoseconds
 	 * @return the candidates
 	 */
 	List<StandbySelector.Candidate> standbyCandidates(long nowNanos) {
@@ -126,7 +125,7 @@
 	}
 
 	/**
-	 * Tell the others that this process is about to stop.
+	 * Announce to the other hosts that this process is about to stop.
 	 */
 	void announceStop() {
 		this.self = this.self.asStopping();
@@ -134,8 +133,8 @@
 	}
 
 	/**
-	 * All hosts, this one with them.
-	 * @return where they listen for peers
+	 * All hosts, including this one.
+	 * @return their addresses for peers
 	 */
 	List<HostAddress> addresses() {
 		return this.hosts.values().stream().map((record) -> HostAddress.parse(record.peerAddress())).toList();
@@ -183,23 +182,23 @@
 		}
 	}
 
-	// When a process registered, and when it is taken to be ready.
+	// The row version at which a process registered, and when it counts as ready.
 	private record ProcessStart(long version, long readyNanos) {
 
 	}
 
-	/** Told of the registered hosts, on the control thread. */
+	/** Receives changes of the registered hosts, on the control thread. */
 	interface Listener {
 
 		/**
-		 * These hosts are registered.
-		 * @param hosts their names, this one first
+		 * The list of registered hosts was updated.
+		 * @param hosts the names of the registered hosts, this one first
 		 */
 		void hostsChanged(List<String> hosts);
 
 		/**
-		 * A host's scheduler has started anew.
-		 * @param host its name
+		 * The scheduler of a host has restarted.
+		 * @param host the name of the host
 		 */
 		void hostRestarted(String host);
 
--- a/monsoonrelay-scheduler/src/main/java/org/monsoonrelay/scheduler/pool/NetworkPeerNotifier.java
+++ b/monsoonrelay-scheduler/src/main/java/org/monsoonrelay/scheduler/pool/NetworkPeerNotifier.java
@@ -20,7 +20,7 @@
 import org.monsoonrelay.model.submission.SubmissionState;
 
 /**
- * Tells all hosts, its own with them, what the owner has to say, as one-way messages.
+ * Sends the owner's notifications to all hosts, including its own, as one-way messages.
  * Thread-safe.
  */
 final class NetworkPeerNotifier implements PeerNotifier {
--- a/monsoonrelay-scheduler/src/main/java/org/monsoonrelay/scheduler/pool/PeerEligibilityClient.java
+++ b/monsoonrelay-scheduler/src/main/java/org/monsoonrelay/scheduler/pool/PeerEligibilityClient.java
@@ -19,8 +19,8 @@
 import org.monsoonrelay.platform.HttpEligibilityClient;
 
 /**
- * Asks for eligible workers from this host or, through its scheduler, from another one.
- * Thread-safe.
+ * Requests eligible workers from the eligibility service, from this host or through the
+ * scheduler of another host. Thread-safe.
  */
 final class PeerEligibilityClient implements EligibilityClient {
 
@@ -49,7 +49,7 @@
 		}
 		Optional<HostAddress> address = this.addressOfHost.apply(host);
 		if (address.isEmpty()) {
-			return CompletableFuture.failedFuture(new PeerException("no address of " + host, null));
+			return CompletableFuture.failedFuture(new PeerException("no address is known for host " + host, null));
 		}
 		Envelope.Builder request = Envelope.newBuilder()
 			.setEligibilityRequest(EligibilityRequest.newBuilder().setStep(step.toString()).addAllWorkers(workers));
@@ -58,9 +58,9 @@
 	}
 
 	/**
-	 * The same tickets under the strings by which workers are interned.
+	 * Replace the ids of workers by their interned strings.
 	 * @param tickets tickets by worker
-	 * @return the tickets, looked up faster by the ids of workers
+	 * @return the tickets by interned id, which speeds up look-ups by the ids of workers
 	 */
 	static Map<String, String> withInternedIds(Map<String, String> tickets) {
 		Map<String, String> interned = new HashMap<>();
@@ -69,9 +69,9 @@
 	}
 
 	/**
-	 * Make a call that a peer asks for.
+	 * Call the eligibility service on behalf of a peer.
 	 * @param request the peer's request
-	 * @param remaining how long the peer waits
+	 * @param remaining time until the request of the peer times out
 	 * @return the reply
 	 */
 	CompletableFuture<Envelope.Builder> handleRequest(EligibilityRequest request, Duration remaining) {
--- a/monsoonrelay-scheduler/src/main/java/org/monsoonrelay/scheduler/pool/PoolScheduler.java
+++ b/monsoonrelay-scheduler/src/main/java/org/monsoonrelay/scheduler/pool/PoolScheduler.java
@@ -41,8 +41,9 @@
 import org.monsoonrelay.platform.WorkerListFollower;
 
 /**
- * The scheduler of a host: composition only. It stands ready to own the pool and makes
- * calls for the owner. All control state is touched on the control thread alone.
+ * The scheduler of a host: creates and connects its components. It takes part in the
+ * election of the owner of the pool and makes eligibility calls for the owner. Control
+ * state is accessed only on the control thread.
  */
 public final class PoolScheduler {
 
@@ -51,19 +52,18 @@
 	private static final int TRAINING_CALLS = 5;
 
 	/**
-	 * A scheduler that does not own the pool begins to read the jobs this long after its
-	 * start, milliseconds: after a loss of power the gateway beside it needs the
-	 * processor first.
+	 * Delay after the start before a standby reads the jobs, in milliseconds: after a
+	 * power loss the gateway in the same process needs the processor first.
 	 */
 	private static final long STANDBY_DELAY_MILLIS = 1500;
 
 	/**
-	 * Time between two looks whether the owner wants this host to stand ready, and, at
-	 * the owner, which hosts do, milliseconds.
+	 * Interval at which a host checks whether it is a standby, and at which the owner
+	 * updates the standby candidates, in milliseconds.
 	 */
 	private static final long STANDBY_CHECK_MILLIS = 500;
 
-	/** How long a stopping owner may take to give the pool up, milliseconds. */
+	/** Maximum time for a stopping owner to release the pool, in milliseconds. */
 	private static final long RELEASE_TIMEOUT_MILLIS = 4000;
 
 	private final HostSettings settings;
@@ -95,11 +95,11 @@
 	/**
 	 * Create a scheduler.
 	 * @param settings the host's settings
-	 * @param self this process
+	 * @param self identity of this process
 	 * @param table the platform's table
-	 * @param network the other hosts
-	 * @param log takes decisions
-	 * @param unreadable takes note of rows that cannot be read
+	 * @param network the network of the hosts
+	 * @param log receives decisions
+	 * @param unreadable records unreadable rows
 	 */
 	public PoolScheduler(HostSettings settings, PeerIdentity self, PartitionedTable table, PeerNetwork network,
 			DecisionLog log, UnreadableRows unreadable) {
@@ -123,7 +123,7 @@
 	}
 
 	/**
-	 * Begin.
+	 * Start the scheduler.
 	 */
 	public void start() {
 		this.election.start();
@@ -145,15 +145,15 @@
 	}
 
 	/**
-	 * The configuration in force, which is followed all the while.
-	 * @return the feed
+	 * The configuration in force, which is followed continuously.
+	 * @return the follower of the configuration
 	 */
 	public ConfigurationFollower configuration() {
 		return this.configuration;
 	}
 
 	/**
-	 * Make a call for eligibility that a peer asks for.
+	 * Call the eligibility service on behalf of a peer.
 	 * @param message the peer's request
 	 * @return the reply
 	 */
@@ -163,9 +163,9 @@
 	}
 
 	/**
-	 * Take in a one-way message.
+	 * Handle a one-way message.
 	 * @param message the message
-	 * @return whether a scheduler takes such a message
+	 * @return whether schedulers handle this kind of message
 	 */
 	public boolean handleNotification(Envelope message) {
 		Optional<Runnable> handler = handlerOf(message);
@@ -189,14 +189,15 @@
 		};
 	}
 
-	// Read before the control thread gets it: what a peer of another release sends must
-	// not stop this process.
+	// Parsed before it is passed to the control thread: an unreadable message from a peer
+	// of
+	// another release must not stop this process.
 	private static <T> Optional<T> read(String json, Class<T> type) {
 		try {
 			return Optional.of(Json.readRow(json, type));
 		}
 		catch (JsonProcessingException ex) {
-			LOGGER.log(System.Logger.Level.WARNING, "a peer's message is not readable and left out: {0}",
+			LOGGER.log(System.Logger.Level.WARNING, "ignored unreadable message of a peer: {0}",
 					ex.getOriginalMessage());
 			return Optional.empty();
 		}
@@ -232,7 +233,7 @@
 	}
 
 	/**
-	 * Let a few exchanges fail, so that the classes on their way are loaded.
+	 * Make a few calls that fail, so that the classes they use are loaded.
 	 */
 	public void train() {
 		List<Integer> ports = this.settings.internalPorts();
@@ -247,8 +248,8 @@
 	}
 
 	/**
-	 * Take the pool over no more, and give it up if it is owned here.
-	 * @return completed once that is done or cannot be done in time
+	 * Leave the election, and release the pool if this host owns it.
+	 * @return completed when the pool is released or the time limit has passed
 	 */
 	public CompletableFuture<Void> release() {
 		this.control.execute(() -> {
@@ -260,7 +261,7 @@
 	}
 
 	/**
-	 * Stop at once.
+	 * Stop immediately.
 	 */
 	public void close() {
 		this.control.shutdownNow();
@@ -284,7 +285,7 @@
 
 	}
 
-	// Only an owner reads the lists of workers and hosts.
+	// A term of ownership. Only an owner follows the lists of workers and hosts.
 	private record Term(PoolOwner owner, WorkerListFollower hostList) {
 
 	}
--- a/monsoonrelay-scheduler/src/test/java/org/monsoonrelay/scheduler/OperatorRoutesTests.java
+++ b/monsoonrelay-scheduler/src/test/java/org/monsoonrelay/scheduler/OperatorRoutesTests.java
@@ -88,7 +88,7 @@
 
 	@ParameterizedTest
 	@CsvSource({ "''", "Bearer guess", "Bearer token-of-an", "bearer token-of-ana", "token-of-ana", "'Bearer '" })
-	void strangersAreRefusedOnEveryRouteAndChangeNothing(String authorization) throws IOException {
+	void requestsWithoutAValidCredentialAreRejectedAndChangeNothing(String authorization) throws IOException {
 		for (String path : List.of("/operator/state", "/operator/status", "/operator/audit")) {
 			assertThat(call(path, authorization, null).code()).isEqualTo(401);
 		}
@@ -99,7 +99,7 @@
 	}
 
 	@Test
-	void editIsNamedAfterTheCredentialAndNotAfterWhatIsClaimed() throws IOException {
+	void editIsAttributedToTheOperatorOfTheCredential() throws IOException {
 		EditRequest edit = new EditRequest("e1", EditKind.APPLY, TEXT, List.of(), null);
 		Answer answer = call("/operator/edits", "Bearer token-of-biju", edit);
 
@@ -111,7 +111,7 @@
 	}
 
 	@Test
-	void unreadableRequestIsAProblemAndNotACrash() throws IOException {
+	void unreadableRequestIsAnsweredWithAProblem() throws IOException {
 		Answer answer = call("/operator/edits", "Bearer token-of-ana", List.of());
 		Answer kind = call("/operator/audit?kind=COLOUR", "Bearer token-of-ana", null);
 
@@ -125,7 +125,7 @@
 	}
 
 	/**
-	 * A platform that holds nothing and keeps what is written to it.
+	 * A platform without rows and objects that records all writes.
 	 */
 	private static final class EmptyPlatform implements TableService, ObjectStore {
 
--- a/monsoonrelay-scheduler/src/test/java/org/monsoonrelay/scheduler/PeerDirectoryTests.java
+++ b/monsoonrelay-scheduler/src/test/java/org/monsoonrelay/scheduler/PeerDirectoryTests.java
@@ -16,7 +16,7 @@
 	}
 
 	@Test
-	void aProcessThatStartedAnewTakesThePlaceOfTheEarlierOne() {
+	void aRestartedProcessReplacesItsEarlierSession() {
 		this.peers.announcementReceived(announcement("old", "10.0.0.1:7000", 4), 0);
 		this.peers.announcementReceived(announcement("other", "10.0.0.2:7000", 4), 0);
 		assertThat(this.peers.announcementReceived(announcement("new", "10.0.0.1:7000", 0), 1)).containsExactly("old");
@@ -25,7 +25,7 @@
 	}
 
 	@Test
-	void aLateWordOfAReplacedProcessChangesNothing() {
+	void aLateAnnouncementOfAReplacedSessionIsIgnored() {
 		this.peers.announcementReceived(announcement("old", "10.0.0.1:7000", 4), 0);
 		this.peers.announcementReceived(announcement("new", "10.0.0.1:7000", 5), 1);
 		assertThat(this.peers.announcementReceived(announcement("old", "10.0.0.1:7000", 4), 2)).isEmpty();
@@ -33,7 +33,7 @@
 	}
 
 	@Test
-	void aSilentProcessIsDropped() {
+	void anUnresponsiveProcessIsRemoved() {
 		this.peers.announcementReceived(announcement("one", "10.0.0.1:7000", 4), 0);
 		assertThat(this.peers.removeUnresponsive(EXPIRY_NANOS)).isEmpty();
 		assertThat(this.peers.removeUnresponsive(EXPIRY_NANOS + 1)).containsExactly("one");
--- a/monsoonrelay-scheduler/src/test/java/org/monsoonrelay/scheduler/QueueActivationTests.java
+++ b/monsoonrelay-scheduler/src/test/java/org/monsoonrelay/scheduler/QueueActivationTests.java
@@ -26,7 +26,7 @@
 	}
 
 	@Test
-	void aQueueBeginsOnceAllRacksAreKnownAndTheirOwnersHadTimeToTell() {
+	void aQueueStartsOnceAllRacksAreKnownAndTheirOwnersHadTimeToReport() {
 		this.activation.ownershipAcquired("crew");
 		advanceClock(QueueActivation.CLAIM_WAIT);
 		this.activation.runRound(true);
@@ -39,7 +39,7 @@
 	}
 
 	@Test
-	void aQueueBeginsAfterTheLimitThoughSomeRacksAreNotKnown() {
+	void aQueueStartsAfterTheMaximumWaitWhenSomeRacksAreUnknown() {
 		this.activation.ownershipAcquired("crew");
 		advanceClock(QueueActivation.MAX_WAIT);
 		this.activation.runRound(false);
@@ -50,7 +50,7 @@
 	}
 
 	@Test
-	void anActiveQueueIsLeftAlone() {
+	void anActiveQueueIsNotActivatedAgain() {
 		this.active.add("crew");
 		this.activation.ownershipAcquired("crew");
 		advanceClock(QueueActivation.MAX_WAIT.plus(ONE_NANOSECOND));
@@ -60,7 +60,7 @@
 	}
 
 	@Test
-	void aQueueThatIsOwnedAgainWaitsAnew() {
+	void aQueueWhoseOwnershipIsReacquiredWaitsAgain() {
 		this.activation.ownershipAcquired("crew");
 		advanceClock(QueueActivation.CLAIM_WAIT.plus(ONE_NANOSECOND));
 		this.activation.ownershipAcquired("crew");
--- a/monsoonrelay-scheduler/src/test/java/org/monsoonrelay/scheduler/SchedulerSettingsTests.java
+++ b/monsoonrelay-scheduler/src/test/java/org/monsoonrelay/scheduler/SchedulerSettingsTests.java
@@ -15,7 +15,7 @@
 
 class SchedulerSettingsTests {
 
-	private static final String GOOD = """
+	private static final String VALID_SETTINGS = """
 			{"node": {"name": "s1", "failureDomain": "north", "peerAddress": "127.0.0.1:7001",
 			"platform": "127.0.0.1:7100", "peers": ["127.0.0.1:7001", "127.0.0.1:7002"], "secret": "cell-secret"},
 			"operatorAddress": "127.0.0.1:7201", "operators": [{"name": "ana", "token": "token-of-ana"},
@@ -31,21 +31,21 @@
 	}
 
 	@Test
-	void rightSettingsAreReadAndPrintedWithoutSecrets() throws IOException {
-		String printed = SettingsPrinter.print(read(GOOD));
+	void validSettingsAreReadAndPrintedWithoutSecrets() throws IOException {
+		String printed = SettingsPrinter.print(read(VALID_SETTINGS));
 
 		assertThat(printed).contains("\"name\" : \"ana\"", "\"secret\" : \"***\"")
 			.doesNotContain("cell-secret", "token-of-ana", "token-of-biju");
 	}
 
 	@Test
-	void everyFaultIsNamedAtOnceWithItsPlace() {
-		String bad = GOOD.replace("127.0.0.1:7201", "127.0.0.1:7001")
+	void allFaultsAreReportedTogetherWithTheirPaths() {
+		String invalidSettings = VALID_SETTINGS.replace("127.0.0.1:7201", "127.0.0.1:7001")
 			.replace("127.0.0.1:7002", "127.0.0.1:99999")
 			.replace("\"drainMillis\": 5000", "\"drainSeconds\": 5")
 			.replace("token-of-biju", "token-of-ana");
 
-		assertThatThrownBy(() -> read(bad)).isInstanceOf(SettingsException.class)
+		assertThatThrownBy(() -> read(invalidSettings)).isInstanceOf(SettingsException.class)
 			.message()
 			.contains("/: 'drainMillis' is missing", "/drainSeconds: unknown key",
 					"/node/peers/1: not an address: 127.0.0.1:99999",
--- a/monsoonrelay-scheduler/src/test/java/org/monsoonrelay/scheduler/pool/HostRegistryTests.java
+++ b/monsoonrelay-scheduler/src/test/java/org/monsoonrelay/scheduler/pool/HostRegistryTests.java
@@ -54,7 +54,7 @@
 			"{\"host\":\"b\",\"failureDomain\":\"d\",\"peerAddress\":null,\"incarnation\":\"i\"}",
 			"{\"host\":\"b\",\"failureDomain\":\"d\",\"peerAddress\":\"10.0.0.2:70\"}",
 			"{\"host\":7,\"failureDomain\":\"d\",\"peerAddress\":\"10.0.0.2:70\",\"incarnation\":\"i\"}" })
-	void aRowThatCannotBeReadNamesNoHostAndAllOthersHold(String value) {
+	void anUnreadableRowIsExcludedAndAllOthersAreKept(String value) {
 		this.registry.snapshot("", List.of(row("a"), row("b", value), row("c")));
 		assertThat(this.reportedHosts).containsExactlyInAnyOrder("self", "a", "c");
 		assertThat(this.registry.addresses()).containsOnly(HostAddress.parse("10.0.0.2:70"));
@@ -62,7 +62,7 @@
 	}
 
 	@Test
-	void aHostWhoseRowTurnsUnreadableIsLeftOutUntilItCanBeRead() {
+	void aHostWhoseRowBecomesUnreadableIsExcludedUntilItCanBeRead() {
 		this.registry.snapshot("", List.of(row("a"), row("b")));
 		this.registry.changed(List.of(row("b", "{")));
 		assertThat(this.reportedHosts).containsExactly("self", "a");
--- a/monsoonrelay-scheduler/src/test/java/org/monsoonrelay/scheduler/pool/PeerEligibilityClientTests.java
+++ b/monsoonrelay-scheduler/src/test/java/org/monsoonrelay/scheduler/pool/PeerEligibilityClientTests.java
@@ -15,13 +15,13 @@
 		return new WorkerInfo(newWorkerId(), "salon", "127.0.0.1:1", "porto", Resources.NONE, List.of(), "r", false, 0);
 	}
 
-	// A string of its own, as each message brings one.
+	// A new string instance, as in each decoded message.
 	private static String newWorkerId() {
 		return new String(new char[] { 'w', '-', '1' });
 	}
 
 	@Test
-	void namesWorkersByTheStringsOfTheirList() {
+	void ticketsUseTheInternedIdsOfWorkers() {
 		Map<String, String> tickets = PeerEligibilityClient.withInternedIds(Map.of(newWorkerId(), "ticket"));
 		assertThat(tickets).isEqualTo(Map.of("w-1", "ticket"));
 		assertThat(tickets.keySet().iterator().next()).isSameAs(worker().id()).isSameAs(worker().id());
