--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/submission/AcceptOutcome.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/submission/AcceptOutcome.java
@@ -1,20 +1,23 @@
 package org.monsoonrelay.logic.submission;
 
 /**
- * What a caller is told of a submission or cancellation.
+ * Outcome of a submission or cancellation as reported to the caller.
  */
 public enum AcceptOutcome {
 
-	/** It is stored. */
+	/** The request is stored. */
 	ACCEPTED,
 
-	/** It is not stored and will not be; it may be sent again. */
+	/** The request is not stored and never will be; the caller may retry it. */
 	NOT_ACCEPTED,
 
-	/** There is no such job. */
+	/** The job does not exist. */
 	NO_SUCH_JOB,
 
-	/** It may be stored or may yet be; sending it again under the same id is safe. */
+	/**
+	 * The request may be stored already or may still become stored; retrying it with the
+	 * same id is safe.
+	 */
 	UNKNOWN
 
 }
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/submission/CallerWrite.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/submission/CallerWrite.java
@@ -12,32 +12,35 @@
 import org.monsoonrelay.logic.platform.PartitionWrite;
 
 /**
- * One write on behalf of a caller, from its first try to the caller's answer. A try
- * without an answer does not end the write's chance: it is conditional, so that a repeat
- * settles what became of it. Invariants: the outcome is told once, and no try begins
- * after it; {@code NOT_ACCEPTED} is told only if each try is known to have done nothing,
- * and then at once. Thread-safe.
+ * One write on behalf of a caller, from the first attempt until the caller is answered.
+ * An attempt whose outcome is unknown is retried: the write is conditional, so a retry
+ * determines whether an earlier attempt took effect. Invariants: the outcome is completed
+ * once, and no attempt starts afterwards; the outcome is {@code NOT_ACCEPTED} only if
+ * every attempt is known to have had no effect; if no path to the table is available, the
+ * write completes at once. Thread-safe.
  */
 final class CallerWrite {
 
-	/** Pause before a write that was turned down is tried again, milliseconds. */
-	private static final long PAUSE_MILLIS = 60;
+	/** Delay before a rejected write is retried, milliseconds. */
+	private static final long RETRY_DELAY_MILLIS = 60;
 
 	/**
-	 * A try without an answer for this long is joined by one through another host,
-	 * milliseconds: the table may be silent to this host alone. A write takes 14 ms, and
-	 * 560 ms while the table is sixty times as slow.
+	 * Time without an answer after which the write is also sent through another host,
+	 * milliseconds: the table may be unreachable from this host only. A write takes 14
+	 * ms, and 560 ms while the table is 60 times slower than usual.
 	 */
-	private static final long HEDGE_MILLIS = 700;
+	private static final long HEDGE_DELAY_MILLIS = 700;
 
-	/** Kept back from the caller's time for the answer's way, milliseconds. */
-	private static final long MARGIN_MILLIS = 120;
+	/**
+	 * Part of the caller's timeout reserved for delivering the response, milliseconds.
+	 */
+	private static final long RESPONSE_MARGIN_MILLIS = 120;
 
 	private final WritePaths paths;
 
 	private final PartitionWrite write;
 
-	private final LongConsumer whenStored;
+	private final LongConsumer onStored;
 
 	private final ScheduledExecutorService timer;
 
@@ -45,59 +48,60 @@
 
 	private final CompletableFuture<AcceptOutcome> outcome = new CompletableFuture<>();
 
-	private boolean unknown;
+	private boolean anyOutcomeUnknown;
 
 	private int inFlight;
 
-	private boolean over;
+	private boolean completed;
 
 	/**
 	 * Create a write.
-	 * @param paths how it can be stored
+	 * @param paths the paths to the table
 	 * @param write the write
-	 * @param whenStored told of the row's version
-	 * @param timer for repeats
-	 * @param deadlineNanos until when the caller waits, on the steady clock
+	 * @param onStored receives the version of the stored row
+	 * @param timer schedules retries
+	 * @param deadlineNanos the deadline of the caller on the monotonic clock, nanoseconds
 	 */
-	CallerWrite(WritePaths paths, PartitionWrite write, LongConsumer whenStored, ScheduledExecutorService timer,
+	CallerWrite(WritePaths paths, PartitionWrite write, LongConsumer onStored, ScheduledExecutorService timer,
 			long deadlineNanos) {
 		this.paths = paths;
 		this.write = write;
-		this.whenStored = whenStored;
+		this.onStored = onStored;
 		this.timer = timer;
 		this.deadlineNanos = deadlineNanos;
 	}
 
 	/**
-	 * Begin to try.
-	 * @return what the caller is told
+	 * Start the first attempt.
+	 * @return the outcome for the caller, never failing
 	 */
-	CompletableFuture<AcceptOutcome> begin() {
-		long left = leftMillis();
-		cancelOnceTold(this.timer.schedule(this::giveUp, Math.max(0, left), TimeUnit.MILLISECONDS));
-		if (left > HEDGE_MILLIS) {
-			cancelOnceTold(this.timer.schedule(this::hedge, HEDGE_MILLIS, TimeUnit.MILLISECONDS));
+	CompletableFuture<AcceptOutcome> start() {
+		long remainingMillis = remainingMillis();
+		cancelOnCompletion(
+				this.timer.schedule(this::completeUnsuccessfully, Math.max(0, remainingMillis), TimeUnit.MILLISECONDS));
+		if (remainingMillis > HEDGE_DELAY_MILLIS) {
+			cancelOnCompletion(this.timer.schedule(this::hedge, HEDGE_DELAY_MILLIS, TimeUnit.MILLISECONDS));
 		}
-		next();
+		startAttempt();
 		return this.outcome;
 	}
 
-	// The timer would keep the write and its job for the rest of the caller's time.
-	private void cancelOnceTold(Future<?> task) {
-		this.outcome.whenComplete((told, failure) -> task.cancel(false));
+	// Otherwise the timer would retain the write and its job until the caller's deadline.
+	private void cancelOnCompletion(Future<?> task) {
+		this.outcome.whenComplete((result, failure) -> task.cancel(false));
 	}
 
-	private long leftMillis() {
-		return TimeUnit.NANOSECONDS.toMillis(this.deadlineNanos - this.paths.nanoTime()) - MARGIN_MILLIS;
+	private long remainingMillis() {
+		return TimeUnit.NANOSECONDS.toMillis(this.deadlineNanos - this.paths.nanoTime()) - RESPONSE_MARGIN_MILLIS;
 	}
 
-	private void next() {
-		boolean isTried = this.paths.isDirectPathOpen()
+	private void startAttempt() {
+		boolean isAttempted = this.paths.isDirectPathOpen()
 				? attempt(() -> Optional.of(this.paths.writeDirectly(this.write)))
 				: attempt(() -> this.paths.writeThroughPeer(this.write));
-		if (!isTried) {
-			// The caller had better try another host than wait for this one.
-			giveUp();
+		if (!isAttempted) {
+			// No path is available: answer now, so that the caller can try another host.
+			completeUnsuccessfully();
 		}
 	}
 
@@ -107,94 +111,94 @@
 		}
 	}
 
-	// A try counts as on its way before it is sent: a caller whose time is over meanwhile
-	// must not be told that nothing was done.
-	private boolean attempt(Supplier<Optional<CompletableFuture<PartitionCommit>>> way) {
+	// Counts the attempt as in flight before it is sent: a caller whose deadline passes
+	// meanwhile must not be answered NOT_ACCEPTED.
+	private boolean attempt(Supplier<Optional<CompletableFuture<PartitionCommit>>> path) {
 		synchronized (this) {
-			if (this.over) {
+			if (this.completed) {
 				return true;
 			}
 			this.inFlight++;
 		}
-		Optional<CompletableFuture<PartitionCommit>> answer = way.get();
+		Optional<CompletableFuture<PartitionCommit>> answer = path.get();
 		if (answer.isEmpty()) {
-			isLast(false);
+			recordCompletion(false);
 			return false;
 		}
 		answer.get().whenComplete((commit, failure) -> {
 			boolean isUnknown = !(commit instanceof PartitionCommit.NotDone);
 			if (commit instanceof PartitionCommit.Committed committed) {
-				this.whenStored.accept(committed.version());
+				this.onStored.accept(committed.version());
 				accept();
 			}
 			else if (commit instanceof PartitionCommit.Conflict) {
 				accept();
 			}
-			else if (isLast(isUnknown)) {
-				later();
+			else if (recordCompletion(isUnknown)) {
+				scheduleRetry();
 			}
 		});
 		return true;
 	}
 
-	private synchronized boolean isLast(boolean isUnknown) {
-		this.unknown |= isUnknown;
+	private synchronized boolean recordCompletion(boolean isUnknown) {
+		this.anyOutcomeUnknown |= isUnknown;
 		this.inFlight--;
 		return this.inFlight == 0;
 	}
 
-	private void later() {
-		this.timer.schedule(this::next, PAUSE_MILLIS, TimeUnit.MILLISECONDS);
+	private void scheduleRetry() {
+		this.timer.schedule(this::startAttempt, RETRY_DELAY_MILLIS, TimeUnit.MILLISECONDS);
 	}
 
 	private void accept() {
 		synchronized (this) {
-			if (this.over) {
+			if (this.completed) {
 				return;
 			}
-			this.over = true;
+			this.completed = true;
 		}
 		this.outcome.complete(AcceptOutcome.ACCEPTED);
 	}
 
-	private void giveUp() {
+	private void completeUnsuccessfully() {
 		boolean mayBeStored;
 		synchronized (this) {
-			if (this.over) {
+			if (this.completed) {
 				return;
 			}
-			this.over = true;
-			mayBeStored = this.unknown || this.inFlight > 0;
+			this.completed = true;
+			mayBeStored = this.anyOutcomeUnknown || this.inFlight > 0;
 		}
 		this.outcome.complete(mayBeStored ? AcceptOutcome.UNKNOWN : AcceptOutcome.NOT_ACCEPTED);
 	}
 
-	/** The paths to the table. Thread-safe and not blocking. */
+	/** The paths to the table. Implementations are thread-safe and do not block. */
 	interface WritePaths {
 
 		/**
-		 * The steady clock.
-		 * @return nanoseconds
+		 * The monotonic clock.
+		 * @return the current time in nanoseconds
 		 */
 		long nanoTime();
 
 		/**
-		 * Whether the table takes this host's writes, as far as is known.
-		 * @return {@code true} if a direct write is worth a try
+		 * Whether the table is expected to accept direct writes of this host.
+		 * @return {@code true} if a direct write should be attempted
 		 */
 		boolean isDirectPathOpen();
 
 		/**
-		 * Write to the table.
+		 * Write to the table directly.
 		 * @param write the write
-		 * @return what became of it, never failing
+		 * @return the outcome, never failing
 		 */
 		CompletableFuture<PartitionCommit> writeDirectly(PartitionWrite write);
 
 		/**
-		 * Have another host write.
+		 * Write through another host.
 		 * @param write the write
-		 * @return what became of it, never failing; empty if no host is known that could
+		 * @return the outcome, never failing; empty if no suitable host is known
 		 */
 		Optional<CompletableFuture<PartitionCommit>> writeThroughPeer(PartitionWrite write);
 
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/submission/CircuitBreaker.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/submission/CircuitBreaker.java
@@ -4,57 +4,58 @@
 import java.util.function.LongSupplier;
 
 /**
- * Whether a way to the table counts as down: so many tries in a row have failed that
- * further ones would only make callers wait. While it counts as down, one try in
- * {@link #PROBE_MILLIS} finds out. Thread-safe.
+ * Circuit breaker for one path to the table. It opens after a number of consecutive
+ * failures, so that callers do not wait for further attempts that are likely to fail.
+ * While it is open, one attempt per {@link #PROBE_INTERVAL_MILLIS} is let through as a
+ * probe. Thread-safe.
  */
 final class CircuitBreaker {
 
-	/** Time between two tries while the way counts as down, milliseconds. */
-	private static final long PROBE_MILLIS = 250;
+	/** Interval between probes while the circuit is open, milliseconds. */
+	private static final long PROBE_INTERVAL_MILLIS = 250;
 
-	private final int limit;
+	private final int failureLimit;
 
 	private final LongSupplier nanoTime;
 
-	private int failures;
+	private int consecutiveFailures;
 
-	private long lastTryNanos;
+	private long lastAttemptNanos;
 
 	/**
-	 * Create the watch of a way.
-	 * @param limit failures in a row after which it counts as down
-	 * @param nanoTime the steady clock
+	 * Create a circuit breaker.
+	 * @param failureLimit consecutive failures after which the circuit opens
+	 * @param nanoTime the monotonic clock, nanoseconds
 	 */
-	CircuitBreaker(int limit, LongSupplier nanoTime) {
-		this.limit = limit;
+	CircuitBreaker(int failureLimit, LongSupplier nanoTime) {
+		this.failureLimit = failureLimit;
 		this.nanoTime = nanoTime;
 	}
 
 	/**
-	 * Whether to leave the way alone now.
-	 * @return {@code true} if it counts as down and was tried just now
+	 * Whether attempts are to be skipped now.
+	 * @return {@code true} if the failure limit is reached and no probe is due
 	 */
 	synchronized boolean isOpen() {
-		return this.failures >= this.limit
-				&& this.nanoTime.getAsLong() - this.lastTryNanos < TimeUnit.MILLISECONDS.toNanos(PROBE_MILLIS);
+		return this.consecutiveFailures >= this.failureLimit && this.nanoTime.getAsLong()
+				- this.lastAttemptNanos < TimeUnit.MILLISECONDS.toNanos(PROBE_INTERVAL_MILLIS);
 	}
 
 	synchronized void recordAttempt() {
-		this.lastTryNanos = this.nanoTime.getAsLong();
+		this.lastAttemptNanos = this.nanoTime.getAsLong();
 	}
 
 	synchronized void recordSuccess() {
-		this.failures = 0;
+		this.consecutiveFailures = 0;
 	}
 
 	/**
-	 * Note a failure.
-	 * @return whether the way counts as down now
+	 * Record a failed attempt.
+	 * @return whether the failure limit is reached
 	 */
 	synchronized boolean recordFailure() {
-		this.failures++;
-		return this.failures >= this.limit;
+		this.consecutiveFailures++;
+		return this.consecutiveFailures >= this.failureLimit;
 	}
 
 }
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/submission/CommitRelay.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/submission/CommitRelay.java
@@ -7,18 +7,18 @@
 import org.monsoonrelay.logic.platform.PartitionWrite;
 
 /**
- * Lets another host write to the table for one that the table turns away. Implementations
- * are thread-safe and do not block.
+ * Forwards writes to another host, for use while the table rejects the writes of this
+ * host. Implementations are thread-safe and do not block.
  */
 public interface CommitRelay {
 
-	/** Knows no other host. */
+	/** A relay without any other host. */
 	CommitRelay NONE = (write) -> Optional.empty();
 
 	/**
-	 * Have a write done by another host.
+	 * Forward a write to another host.
 	 * @param write the write
-	 * @return what became of it, never failing; empty if no other host is known
+	 * @return the outcome, never failing; empty if no other host is known
 	 */
 	Optional<CompletableFuture<PartitionCommit>> relay(PartitionWrite write);
 
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/submission/JobStates.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/submission/JobStates.java
@@ -14,20 +14,21 @@
 import org.monsoonrelay.model.submission.SubmissionState;
 
 /**
- * The durable states of jobs as a gateway knows them, from the feed of the owner's writes
- * and from what this gateway accepted. Invariants: a state never goes back from a final
- * one; of a job whose progress cannot be read no state is told that may have passed; a
- * count never gives way to an older one, whichever way each came. Thread-safe.
+ * The durable states of jobs known to a gateway, from the change feed of the owner's
+ * writes, from the owner's messages, and from jobs that this gateway accepted.
+ * Invariants: a final state is never replaced by a state that is not final; no possibly
+ * outdated state is reported for a job whose progress row is unreadable; a queue count is
+ * never replaced by an older one, whether it arrives by feed or by message. Thread-safe.
  */
 public final class JobStates implements TableFollower.Listener {
 
 	private final Map<String, SubmissionState> states = new ConcurrentHashMap<>();
 
-	private final Set<String> unclear = ConcurrentHashMap.newKeySet();
+	private final Set<String> unreadableJobs = ConcurrentHashMap.newKeySet();
 
 	private final UnreadableRows unreadable;
 
-	private final AtomicReference<QueueCount> count = new AtomicReference<>(QueueCount.NONE);
+	private final AtomicReference<QueueCount> newestCount = new AtomicReference<>(QueueCount.NONE);
 
 	public JobStates(UnreadableRows unreadable) {
 		this.unreadable = unreadable;
@@ -40,90 +41,90 @@
 
 	@Override
 	public void changed(List<TableRow> rows) {
-		rows.forEach(this::take);
+		rows.forEach(this::applyRow);
 	}
 
-	private void take(TableRow row) {
+	private void applyRow(TableRow row) {
 		if (row.deleted()) {
 			this.states.remove(row.key());
-			this.unclear.remove(row.key());
+			this.unreadableJobs.remove(row.key());
 			this.unreadable.clear(row);
 			return;
 		}
 		if (row.key().equals(JobTables.SUMMARY_KEY)) {
 			this.unreadable.read(row, QueueSummary.class)
-				.ifPresent((counted) -> updateCount(new QueueCount(counted, row.version())));
+				.ifPresent((summary) -> updateCount(new QueueCount(summary, row.version())));
 			return;
 		}
 		this.unreadable.read(row, JobProgress.class).ifPresentOrElse((progress) -> {
 			update(row.key(), progress.state());
-			this.unclear.remove(row.key());
-		}, () -> this.unclear.add(row.key()));
+			this.unreadableJobs.remove(row.key());
+		}, () -> this.unreadableJobs.add(row.key()));
 	}
 
 	/**
-	 * Whether it cannot be told what has become of a job, as its progress cannot be read.
+	 * Whether the state of a job is uncertain because its progress row is unreadable.
 	 * @param job the job's id
-	 * @return {@code true} if so
+	 * @return {@code true} if the row is unreadable and no final state is known
 	 */
 	boolean isUnreadable(String job) {
-		return this.unclear.contains(job) && state(job).filter(SubmissionState::isFinal).isEmpty();
+		return this.unreadableJobs.contains(job) && state(job).filter(SubmissionState::isFinal).isEmpty();
 	}
 
 	/**
-	 * Take in what an owner of the pool says has become durable. States are facts whoever
-	 * tells them; an older count than the one known is left out.
-	 * @param told the new states, by job
-	 * @param pending the jobs that wait, if they were counted anew
+	 * Apply a message of a pool owner about durable changes. States are applied whichever
+	 * owner sent them; a count older than the known one is ignored.
+	 * @param changedStates the new states, by job
+	 * @param pending the count of waiting jobs, if it changed
 	 */
-	public void applyOwnerUpdate(Map<String, SubmissionState> told, Optional<QueueCount> pending) {
-		told.forEach(this::update);
+	public void applyOwnerUpdate(Map<String, SubmissionState> changedStates, Optional<QueueCount> pending) {
+		changedStates.forEach(this::update);
 		pending.ifPresent(this::updateCount);
 	}
 
-	// An owner tells a count only when it changes, so that an older one from the feed, or
-	// from a former owner, would stay.
-	private void updateCount(QueueCount counted) {
-		this.count.accumulateAndGet(counted, QueueCount::newer);
+	// An owner sends a count only when it changes, so an older count that arrived late,
+	// by feed or from a former owner, would remain until the next change.
+	private void updateCount(QueueCount queueCount) {
+		this.newestCount.accumulateAndGet(queueCount, QueueCount::newer);
 	}
 
 	/**
-	 * Note a state.
+	 * Update the state of a job, unless a later state is known.
 	 * @param job the job's id
 	 * @param state the state
 	 */
 	public void update(String job, SubmissionState state) {
-		this.states.merge(job, state, JobStates::later);
+		this.states.merge(job, state, JobStates::laterOf);
 	}
 
-	private static SubmissionState later(SubmissionState known, SubmissionState told) {
-		if (known.isFinal() && !told.isFinal()) {
+	private static SubmissionState laterOf(SubmissionState known, SubmissionState update) {
+		if (known.isFinal() && !update.isFinal()) {
 			return known;
 		}
-		// The owner's word on how a job ended goes before this gateway's own note of a
-		// cancellation, which may have come too late.
-		if (told == SubmissionState.CANCELLED && known.isFinal()) {
+		// A final state from the owner takes precedence over a cancellation recorded by
+		// this gateway, which may have come too late.
+		if (update == SubmissionState.CANCELLED && known.isFinal()) {
 			return known;
 		}
-		return (told.ordinal() >= known.ordinal() || told.isFinal()) ? told : known;
+		return (update.ordinal() >= known.ordinal() || update.isFinal()) ? update : known;
 	}
 
 	/**
 	 * The state of a job.
 	 * @param job the job's id
-	 * @return the state, if the job is known here
+	 * @return the state, empty if the job is unknown to this gateway
 	 */
 	public Optional<SubmissionState> state(String job) {
 		return Optional.ofNullable(this.states.get(job));
 	}
 
 	/**
-	 * Number of jobs that wait in a queue.
+	 * Number of jobs waiting in a queue.
 	 * @param queue the queue's name
-	 * @return the owner's last word
+	 * @return the newest count received from the owner, 0 if there is none
 	 */
 	public int pending(String queue) {
-		return this.count.get().summary().pending().getOrDefault(queue, 0);
+		return this.newestCount.get().summary().pending().getOrDefault(queue, 0);
 	}
 
 }
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/submission/JobTables.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/submission/JobTables.java
@@ -4,7 +4,7 @@
 import java.util.stream.IntStream;
 
 /**
- * Names of the tables, partitions and keys that hold submitted jobs. Stateless and
+ * Names of the tables, partitions and keys that store submitted jobs. Stateless and
  * thread-safe.
  */
 public final class JobTables {
@@ -15,25 +15,28 @@
 	/** Progress of jobs and the summary of queues, written by the pool's owner alone. */
 	public static final String PROGRESS = "progress";
 
-	/** Who owns the pool. */
+	/** Ownership of the pool. */
 	public static final String OWNER = "owner";
 
-	/** The hosts of this system. */
+	/** The registered hosts of this system. */
 	public static final String HOSTS = "hosts";
 
-	/** The partition in which the owner writes, so that its row fences its writes. */
+	/**
+	 * The partition of the owner's row and of all its writes, so that a condition on the
+	 * row fences them.
+	 */
 	public static final String POOL_PARTITION = "pool";
 
-	/** Key of the owner's row, in the table of owners and of progress. */
+	/** Key of the owner's row in the tables {@link #OWNER} and {@link #PROGRESS}. */
 	public static final String OWNER_KEY = "owner";
 
-	/** Key of the summary of queues. */
+	/** Key of the queue summary. */
 	public static final String SUMMARY_KEY = "summary";
 
 	/**
-	 * Number of partitions for acceptance. Each carries one transaction after the other:
-	 * 200 a second of 5 ms, and 3 a second while the table is 60 times as slow, when 40
-	 * jobs a second have to be accepted.
+	 * Number of partitions for submissions. Each partition runs its transactions one
+	 * after another: 200 per second at 5 ms each, and 3 per second while the table is 60
+	 * times slower than usual, when 40 jobs per second still have to be accepted.
 	 */
 	private static final int PARTITIONS = 32;
 
@@ -43,9 +46,9 @@
 	}
 
 	/**
-	 * Partition of a job.
+	 * The partition of a job.
 	 * @param job the job's id
-	 * @return the partition
+	 * @return the name of the partition
 	 */
 	public static String partition(String job) {
 		return "jobs-" + Math.floorMod(job.hashCode(), PARTITIONS);
@@ -60,7 +63,7 @@
 	}
 
 	/**
-	 * Key of a job's cancellation.
+	 * The key of a job's cancellation row.
 	 * @param job the job's id
 	 * @return the key
 	 */
@@ -69,16 +72,16 @@
 	}
 
 	/**
-	 * Whether a key is that of a cancellation.
+	 * Whether a key denotes a cancellation row.
 	 * @param key the key
-	 * @return {@code true} for {@link #cancelKey}
+	 * @return {@code true} if it was made by {@link #cancelKey}
 	 */
 	public static boolean isCancelKey(String key) {
 		return key.endsWith(CANCEL_SUFFIX);
 	}
 
 	/**
-	 * The job of a submission's or cancellation's key.
+	 * The job that a submission or cancellation key belongs to.
 	 * @param key the key
 	 * @return the job's id
 	 */
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/submission/QueueCount.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/submission/QueueCount.java
@@ -1,20 +1,20 @@
 package org.monsoonrelay.logic.submission;
 
 /**
- * The jobs that wait as one write of an owner counted them. Versions of writes grow over
- * all owners, so that of two counts the newer one is known however late they come.
- * Immutable.
+ * The number of waiting jobs by queue, as of one write of an owner. Versions of writes
+ * increase across all owners, so the newer of two counts is known in whatever order they
+ * arrive. Immutable.
  *
- * @param summary the jobs that wait
- * @param version version of the write, 0 for none
+ * @param summary the waiting jobs by queue
+ * @param version version of the write, 0 if there was none
  */
 public record QueueCount(QueueSummary summary, long version) {
 
-	/** Nothing was counted yet. */
+	/** No count has been received yet. */
 	public static final QueueCount NONE = new QueueCount(QueueSummary.NONE, 0);
 
-	static QueueCount newer(QueueCount known, QueueCount told) {
-		return (told.version > known.version) ? told : known;
+	static QueueCount newer(QueueCount known, QueueCount received) {
+		return (received.version > known.version) ? received : known;
 	}
 
 }
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/submission/QueueSummary.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/submission/QueueSummary.java
@@ -3,13 +3,13 @@
 import java.util.Map;
 
 /**
- * Jobs that wait, by queue. Immutable.
+ * Number of waiting jobs by queue. Immutable.
  *
- * @param pending accepted jobs of which no task has started, by queue
+ * @param pending number of accepted jobs without any started task, by queue
  */
 public record QueueSummary(Map<String, Integer> pending) {
 
-	/** Nothing waits. */
+	/** No job is waiting. */
 	public static final QueueSummary NONE = new QueueSummary(Map.of());
 
 	public QueueSummary {
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/submission/StorageAvailabilityMonitor.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/submission/StorageAvailabilityMonitor.java
@@ -7,122 +7,123 @@
 import org.monsoonrelay.logic.events.ProcessDecision;
 
 /**
- * Whether this host can store jobs now, through the table itself or through the owner of
- * the pool. While neither has been heard of, the table is asked with small reads, so that
- * no caller's job is the one that finds out: a write without an answer leaves its caller
- * without a certain one. Answers the load of a failure domain that is cut off, whose
- * callers are best sent elsewhere at once: the platform needs up to two seconds more, and
- * a job has three. Invariant: a host that hears answers counts as able, however slow they
+ * Tracks whether this host can store jobs, through the table itself or through the owner
+ * of the pool. After a period without a response from either, it probes the table with
+ * small reads rather than with callers' writes, because a write without an answer leaves
+ * its caller with an unknown outcome. While storage is unavailable, callers are refused
+ * at once and can go to another host; this matters when a failure domain is cut off,
+ * because the platform takes up to 2 s more to notice and a job must be accepted within 3
+ * s. Invariant: a host that receives responses counts as available, however slow they
  * are. Thread-safe.
  */
 public final class StorageAvailabilityMonitor {
 
 	/**
-	 * Silence after which the table is asked, milliseconds: three heartbeats of the
-	 * owner.
+	 * Time without a response after which the table is probed, milliseconds: three
+	 * heartbeat intervals of the owner.
 	 */
-	static final long SILENCE_MILLIS = 300;
+	static final long PROBE_AFTER_SILENCE_MILLIS = 300;
 
-	/** Time between two questions, milliseconds. */
+	/** Interval between probes, milliseconds. */
 	static final long PROBE_INTERVAL_MILLIS = 250;
 
 	/**
-	 * How long a question may stay unanswered, milliseconds. A read takes 4 ms, and 240
-	 * ms while the table is sixty times as slow.
+	 * Time after which an unanswered probe counts as failed, milliseconds. A read takes 4
+	 * ms, and 240 ms while the table is 60 times slower than usual.
 	 */
 	static final long PROBE_TIMEOUT_MILLIS = 600;
 
-	/** Questions in a row that fail at once after which the table counts as away. */
+	/** Consecutive rejected probes after which the table counts as unavailable. */
 	static final int MAX_FAILED_PROBES = 2;
 
 	private static final String NAME = "storing jobs";
 
-	private final Runnable question;
+	private final Runnable probe;
 
 	private final LongSupplier nanoTime;
 
 	private final DecisionLog log;
 
-	private long heardNanos;
+	private long lastResponseNanos;
 
-	private long askedNanos;
+	private long lastProbeNanos;
 
-	private long firstAskedNanos;
+	private long firstProbeNanos;
 
-	private boolean asking;
+	private boolean probing;
 
-	private int failed;
+	private int failedProbes;
 
-	private boolean able = true;
+	private boolean available = true;
 
-	private long unableNanos;
+	private long unavailableSinceNanos;
 
 	/**
-	 * Create a watch. Until it first hears of the table it counts as able.
-	 * @param question asks the table something small; what comes of it is told to
+	 * Create a monitor. Storage initially counts as available.
+	 * @param probe starts a small read of the table; its result is reported to
 	 * {@link #recordResponse()} or {@link #recordFailedProbe()}
-	 * @param nanoTime the steady clock
-	 * @param log takes changes
+	 * @param nanoTime the monotonic clock, nanoseconds
+	 * @param log receives changes of the availability
 	 */
-	public StorageAvailabilityMonitor(Runnable question, LongSupplier nanoTime, DecisionLog log) {
-		this.question = question;
+	public StorageAvailabilityMonitor(Runnable probe, LongSupplier nanoTime, DecisionLog log) {
+		this.probe = probe;
 		this.nanoTime = nanoTime;
 		this.log = log;
-		this.heardNanos = nanoTime.getAsLong();
+		this.lastResponseNanos = nanoTime.getAsLong();
 	}
 
 	/**
-	 * Note an answer of the table, or that the owner's writes to it go on.
+	 * Record a response of the table, or evidence that the owner still writes to it.
 	 */
 	public synchronized void recordResponse() {
-		this.heardNanos = this.nanoTime.getAsLong();
-		this.asking = false;
-		this.failed = 0;
-		if (!this.able) {
-			this.able = true;
+		this.lastResponseNanos = this.nanoTime.getAsLong();
+		this.probing = false;
+		this.failedProbes = 0;
+		if (!this.available) {
+			this.available = true;
 			this.log.write(new ProcessDecision.DependencyBack(NAME,
-					TimeUnit.NANOSECONDS.toMillis(this.heardNanos - this.unableNanos)));
+					TimeUnit.NANOSECONDS.toMillis(this.lastResponseNanos - this.unavailableSinceNanos)));
 		}
 	}
 
 	/**
-	 * Note that a question was turned down or broken off.
+	 * Record a probe that was rejected or aborted.
 	 */
 	public synchronized void recordFailedProbe() {
-		this.failed++;
-		judge();
+		this.failedProbes++;
+		updateAvailability();
 	}
 
 	/**
-	 * Ask if need be. To be called every few milliseconds.
+	 * Probe the table if a probe is due. Intended to be called every few milliseconds.
 	 */
 	public void probeIfDue() {
-		if (isQuestionDue()) {
-			this.question.run();
+		if (isProbeDue()) {
+			this.probe.run();
 		}
 	}
 
-	private synchronized boolean isQuestionDue() {
+	private synchronized boolean isProbeDue() {
 		long now = this.nanoTime.getAsLong();
-		judge();
-		boolean isDue = isOlder(this.heardNanos, SILENCE_MILLIS, now)
-				&& (!this.asking || isOlder(this.askedNanos, PROBE_INTERVAL_MILLIS, now));
+		updateAvailability();
+		boolean isDue = isOlder(this.lastResponseNanos, PROBE_AFTER_SILENCE_MILLIS, now)
+				&& (!this.probing || isOlder(this.lastProbeNanos, PROBE_INTERVAL_MILLIS, now));
 		if (isDue) {
-			this.askedNanos = now;
-			this.firstAskedNanos = this.asking ? this.firstAskedNanos : now;
-			this.asking = true;
+			this.lastProbeNanos = now;
+			this.firstProbeNanos = this.probing ? this.firstProbeNanos : now;
+			this.probing = true;
 		}
 		return isDue;
 	}
 
-	private void judge() {
-		boolean isSilent = this.asking
-				&& isOlder(this.firstAskedNanos, PROBE_TIMEOUT_MILLIS, this.nanoTime.getAsLong());
-		if (this.able && (isSilent || this.failed >= MAX_FAILED_PROBES)) {
-			this.able = false;
-			this.unableNanos = this.nanoTime.getAsLong();
+	private void updateAvailability() {
+		boolean isUnanswered = this.probing
+				&& isOlder(this.firstProbeNanos, PROBE_TIMEOUT_MILLIS, this.nanoTime.getAsLong());
+		if (this.available && (isUnanswered || this.failedProbes >= MAX_FAILED_PROBES)) {
+			this.available = false;
+			this.unavailableSinceNanos = this.nanoTime.getAsLong();
 			this.log.write(new ProcessDecision.DependencyLost(NAME,
-					isSilent ? "the table does not answer and the owner of " + "the pool is not heard to write"
+					isUnanswered ? "the table does not answer and the owner of " + "the pool is not heard to write"
 							: "the table turns reads down"));
 		}
 	}
@@ -133,10 +134,10 @@
 
 	/**
 	 * Whether jobs can be stored from this host.
-	 * @return {@code false} if trying would only make callers wait
+	 * @return {@code false} if writes are expected to fail or time out
 	 */
 	public synchronized boolean isAvailable() {
-		return this.able;
+		return this.available;
 	}
 
 }
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/submission/StoredJobListener.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/submission/StoredJobListener.java
@@ -3,13 +3,13 @@
 import org.monsoonrelay.model.submission.Submission;
 
 /**
- * Told of rows that were just stored, so that the owner of the pool may hear of them
- * before its feed brings them. Called on the table client's threads, which it must not
- * block; nothing depends on a call arriving.
+ * Notified of rows that were just stored, so that the owner of the pool can be notified
+ * before its change feed delivers them. Called on the table client's threads, which it
+ * must not block. Notifications are best effort; correctness does not depend on them.
  */
 public interface StoredJobListener {
 
-	/** Tells nobody. */
+	/** A listener that ignores all notifications. */
 	StoredJobListener NONE = new StoredJobListener() {
 
 		@Override
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/submission/SubmissionService.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/submission/SubmissionService.java
@@ -16,29 +16,29 @@
 import org.monsoonrelay.model.submission.SubmissionState;
 
 /**
- * Takes jobs and cancellations from callers. Invariants: a job is called accepted only
- * once its row exists; it is called not accepted only if no write of its row can take
- * effect any more. Every write is conditional on the row's absence, so that repeats of a
- * write and of a submission leave one job, through whatever host. A write that the table
- * does not take from this host is tried through another one, so that callers of a host
- * that the table turns away are not refused. Thread-safe.
+ * Accepts jobs and cancellations from callers. Invariants: a job is reported as accepted
+ * only once its row exists; it is reported as not accepted only if no write of its row
+ * can take effect any more. Every write is conditional on the absence of the row, so that
+ * repeated writes and submissions create one job, whichever hosts they go through. A
+ * write that the table does not accept from this host is sent through another host, so
+ * that callers are served while the table rejects this host. Thread-safe.
  */
 public final class SubmissionService {
 
 	/**
-	 * Failed writes in a row, with no answer of the table between, after which it counts
-	 * as down for this host. Callers' jobs do not find out whether it still is: each one
-	 * tried in an outage may leave a caller without a certain answer.
+	 * Consecutive failed writes, with no response of the table in between, after which
+	 * direct writes stop. Callers' writes are not used to probe the table: each write
+	 * attempted during an outage may leave its caller with an unknown outcome.
 	 */
-	private static final int DOWN_AFTER = 3;
+	private static final int MAX_TABLE_FAILURES = 3;
 
 	/**
-	 * Failed writes in a row through another host after which that way counts as down: it
-	 * is taken only after this host's own has failed, and a caller waits a second for it.
+	 * Consecutive failed writes through another host after which that path is skipped: it
+	 * is used only after the direct path has failed, and a caller waits up to 1 s for it.
 	 */
-	private static final int RELAY_DOWN_AFTER = 1;
+	private static final int MAX_RELAY_FAILURES = 1;
 
-	private static final String CANCELLED = "{}";
+	private static final String CANCELLATION_VALUE = "{}";
 
 	private final PartitionedTable table;
 
@@ -63,12 +63,12 @@
 	/**
 	 * Create a service.
 	 * @param table where jobs are stored
-	 * @param states the states that are known
-	 * @param stored told of what was stored
-	 * @param relay another way to store
-	 * @param storage whether anything can be stored
-	 * @param timer for repeats
-	 * @param nanoTime the steady clock
+	 * @param states the known states of jobs
+	 * @param stored notified of stored jobs and cancellations
+	 * @param relay writes through another host
+	 * @param storage tracks whether jobs can be stored
+	 * @param timer schedules retries
+	 * @param nanoTime the monotonic clock, nanoseconds
 	 */
 	public SubmissionService(PartitionedTable table, JobStates states, StoredJobListener stored, CommitRelay relay,
 			StorageAvailabilityMonitor storage, ScheduledExecutorService timer, LongSupplier nanoTime) {
@@ -79,14 +79,14 @@
 		this.states = states;
 		this.timer = timer;
 		this.nanoTime = nanoTime;
-		this.relayBreaker = new CircuitBreaker(RELAY_DOWN_AFTER, nanoTime);
+		this.relayBreaker = new CircuitBreaker(MAX_RELAY_FAILURES, nanoTime);
 	}
 
 	/**
-	 * Accept a job.
+	 * Submit a job.
 	 * @param submission the job
-	 * @param deadlineNanos until when the caller waits, on the steady clock
-	 * @return what the caller is told
+	 * @param deadlineNanos the deadline of the caller on the monotonic clock, nanoseconds
+	 * @return the outcome for the caller
 	 */
 	public CompletableFuture<AcceptOutcome> submit(Submission submission, long deadlineNanos) {
 		String id = submission.id();
@@ -108,8 +108,8 @@
 	/**
 	 * Cancel a job.
 	 * @param id the job's id
-	 * @param deadlineNanos until when the caller waits, on the steady clock
-	 * @return what the caller is told
+	 * @param deadlineNanos the deadline of the caller on the monotonic clock, nanoseconds
+	 * @return the outcome for the caller
 	 */
 	public CompletableFuture<AcceptOutcome> cancel(String id, long deadlineNanos) {
 		return state(id).thenCompose((known) -> {
@@ -122,15 +122,16 @@
 			String key = JobTables.cancelKey(id);
 			PartitionWrite write = PartitionWrite.to(JobTables.partition(id))
 				.onVersion(JobTables.JOBS, key, 0)
-				.put(JobTables.JOBS, key, CANCELLED);
+				.put(JobTables.JOBS, key, CANCELLATION_VALUE);
 			return store(write, (version) -> this.stored.jobCancelled(id), deadlineNanos);
 		});
 	}
 
 	/**
-	 * The state of a job: what the feed told, else what its row tells.
+	 * The state of a job, from the known states or else from its row.
 	 * @param id the job's id
-	 * @return the state, empty if there is no such job; fails if that cannot be found out
+	 * @return the state, empty if the job does not exist; fails with
+	 * {@link PlatformException} if the state cannot be determined
 	 */
 	public CompletableFuture<Optional<SubmissionState>> state(String id) {
 		if (this.states.isUnreadable(id)) {
@@ -151,7 +152,7 @@
 	}
 
 	/**
-	 * Number of jobs that wait in a queue.
+	 * Number of jobs waiting in a queue.
 	 * @param queue the queue's name
 	 * @return the number
 	 */
@@ -159,12 +160,12 @@
 		return this.states.pending(queue);
 	}
 
-	private CompletableFuture<AcceptOutcome> store(PartitionWrite write, LongConsumer whenStored, long deadlineNanos) {
-		return new CallerWrite(this.paths, write, whenStored, this.timer, deadlineNanos).begin();
+	private CompletableFuture<AcceptOutcome> store(PartitionWrite write, LongConsumer onStored, long deadlineNanos) {
+		return new CallerWrite(this.paths, write, onStored, this.timer, deadlineNanos).start();
 	}
 
 	/**
-	 * Note that the table has answered something, so that writes are tried again.
+	 * Record a response of the table, after which direct writes are attempted again.
 	 */
 	public void recordTableResponse() {
 		this.tableFailures.set(0);
@@ -180,7 +181,7 @@
 		@Override
 		public boolean isDirectPathOpen() {
 			SubmissionService service = SubmissionService.this;
-			return service.storage.isAvailable() && service.tableFailures.get() < DOWN_AFTER;
+			return service.storage.isAvailable() && service.tableFailures.get() < MAX_TABLE_FAILURES;
 		}
 
 		@Override
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/submission/package-info.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/submission/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Taking jobs from callers: acceptance, cancellation, and what callers are told.
+ * Accepts and cancels jobs for callers and reports their states.
  */
 package org.monsoonrelay.logic.submission;
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/submission/CallerWriteTests.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/submission/CallerWriteTests.java
@@ -22,9 +22,9 @@
 
 	private static final PartitionCommit STORED = new PartitionCommit.Committed(7);
 
-	private static final PartitionCommit FOUND = new PartitionCommit.Conflict(List.of());
+	private static final PartitionCommit FOUND_STORED = new PartitionCommit.Conflict(List.of());
 
-	private static final PartitionCommit REFUSED = new PartitionCommit.NotDone("busy");
+	private static final PartitionCommit REJECTED = new PartitionCommit.NotDone("busy");
 
 	private static final PartitionCommit UNKNOWN = new PartitionCommit.Unknown("no answer");
 
@@ -32,15 +32,15 @@
 
 	private final List<Long> versions = new ArrayList<>();
 
-	private int directTries;
+	private int directAttempts;
 
-	private int relayedTries;
+	private int peerAttempts;
 
-	private BooleanSupplier open = () -> true;
+	private BooleanSupplier directPathOpen = () -> true;
 
-	private Supplier<CompletableFuture<PartitionCommit>> direct = () -> answer(STORED);
+	private Supplier<CompletableFuture<PartitionCommit>> directAnswer = () -> answer(STORED);
 
-	private Supplier<Optional<CompletableFuture<PartitionCommit>>> relayed = Optional::empty;
+	private Supplier<Optional<CompletableFuture<PartitionCommit>>> peerAnswer = Optional::empty;
 
 	private static CompletableFuture<PartitionCommit> answer(PartitionCommit commit) {
 		return CompletableFuture.completedFuture(commit);
@@ -50,7 +50,7 @@
 		long deadline = this.time.clock().nanos() + TimeUnit.MILLISECONDS.toNanos(waitMillis);
 		CompletableFuture<AcceptOutcome> outcome = new CallerWrite(new WritePaths(), WRITE, this.versions::add,
 				this.time, deadline)
-			.begin();
+			.start();
 		this.time.runFor(0);
 		return outcome;
 	}
@@ -62,44 +62,44 @@
 	}
 
 	@Test
-	void isRepeatedWhileItsCallerWaitsIfATryHadNoAnswer() {
-		this.direct = () -> answer(UNKNOWN);
+	void isRetriedUntilTheDeadlineIfAnAttemptWasNotAnswered() {
+		this.directAnswer = () -> answer(UNKNOWN);
 		CompletableFuture<AcceptOutcome> outcome = write(3000);
 		this.time.runFor(2000);
 		assertThat(outcome).isNotDone();
-		this.direct = () -> answer(FOUND);
+		this.directAnswer = () -> answer(FOUND_STORED);
 		this.time.runFor(100);
 		assertThat(outcome).isCompletedWithValue(AcceptOutcome.ACCEPTED);
 	}
 
 	@Test
-	void isNotCalledRefusedIfATryHadNoAnswer() {
-		this.direct = () -> answer(UNKNOWN);
+	void isNotReportedAsRejectedIfAnAttemptWasNotAnswered() {
+		this.directAnswer = () -> answer(UNKNOWN);
 		CompletableFuture<AcceptOutcome> outcome = write(3000);
-		this.direct = () -> answer(REFUSED);
+		this.directAnswer = () -> answer(REJECTED);
 		this.time.runFor(3000);
 		assertThat(outcome).isCompletedWithValue(AcceptOutcome.UNKNOWN);
 	}
 
 	@Test
-	void isUnknownIfItsOnlyTryStaysUnanswered() {
-		this.direct = CompletableFuture::new;
+	void isUnknownIfItsOnlyAttemptStaysUnanswered() {
+		this.directAnswer = CompletableFuture::new;
 		CompletableFuture<AcceptOutcome> outcome = write(3000);
 		this.time.runFor(3000);
 		assertThat(outcome).isCompletedWithValue(AcceptOutcome.UNKNOWN);
 	}
 
 	@Test
-	void isRefusedUnsentAndAtOnceWhileNoWayIsOpen() {
-		this.open = () -> false;
+	void isRejectedAtOnceWithoutAnAttemptIfNoPathIsAvailable() {
+		this.directPathOpen = () -> false;
 		assertThat(write(3000)).isCompletedWithValue(AcceptOutcome.NOT_ACCEPTED);
-		assertThat(this.directTries).isZero();
+		assertThat(this.directAttempts).isZero();
 	}
 
 	@Test
-	void isUnknownAtOnceIfNoWayIsOpenAfterATryWithoutAnAnswer() {
-		this.direct = () -> {
-			this.open = () -> false;
+	void isUnknownAtOnceIfNoPathIsAvailableAfterAnUnansweredAttempt() {
+		this.directAnswer = () -> {
+			this.directPathOpen = () -> false;
 			return answer(UNKNOWN);
 		};
 		CompletableFuture<AcceptOutcome> outcome = write(3000);
@@ -108,8 +108,8 @@
 	}
 
 	@Test
-	void isNotCalledRefusedIfItsCallersTimeEndsWhileATryIsBeingSent() {
-		this.direct = () -> {
+	void isNotReportedAsRejectedIfTheDeadlinePassesWhileAnAttemptIsSent() {
+		this.directAnswer = () -> {
 			this.time.runFor(4000);
 			return answer(STORED);
 		};
@@ -117,108 +117,108 @@
 	}
 
 	@Test
-	void goesThroughAnotherHostAsWellWhileTheTableIsSilentHere() {
-		this.direct = CompletableFuture::new;
-		this.relayed = () -> Optional.of(answer(STORED));
+	void isAlsoSentThroughAnotherHostIfTheTableDoesNotAnswer() {
+		this.directAnswer = CompletableFuture::new;
+		this.peerAnswer = () -> Optional.of(answer(STORED));
 		CompletableFuture<AcceptOutcome> outcome = write(3000);
 		this.time.runFor(800);
 		assertThat(outcome).isCompletedWithValue(AcceptOutcome.ACCEPTED);
 	}
 
 	@Test
-	void leavesNothingWithTheTimerOnceItIsStored() {
+	void leavesNoTimerTaskOnceItIsStored() {
 		write(3000);
 		assertThat(this.time.pendingTaskCount()).isZero();
 	}
 
-	/** Whatever the caller was told, no try begins after it. */
+	/** No attempt starts after the write is completed, whatever the outcome. */
 	@Nested
-	class OnceItsCallerWasTold {
+	class AfterCompletion {
 
-		private void assertNoTryBeginsAfter(CompletableFuture<AcceptOutcome> outcome, AcceptOutcome told) {
+		private void assertNoAttemptStartsAfter(CompletableFuture<AcceptOutcome> outcome, AcceptOutcome expected) {
 			CallerWriteTests test = CallerWriteTests.this;
-			assertThat(outcome).isCompletedWithValue(told);
-			int tries = test.directTries + test.relayedTries;
-			test.open = () -> true;
-			test.direct = () -> answer(STORED);
-			test.relayed = () -> Optional.of(answer(FOUND));
+			assertThat(outcome).isCompletedWithValue(expected);
+			int attempts = test.directAttempts + test.peerAttempts;
+			test.directPathOpen = () -> true;
+			test.directAnswer = () -> answer(STORED);
+			test.peerAnswer = () -> Optional.of(answer(FOUND_STORED));
 			test.time.runFor(4000);
-			assertThat(test.directTries + test.relayedTries).isEqualTo(tries);
-			assertThat(outcome).isCompletedWithValue(told);
+			assertThat(test.directAttempts + test.peerAttempts).isEqualTo(attempts);
+			assertThat(outcome).isCompletedWithValue(expected);
 		}
 
 		@Test
-		void thatItIsStoredNoTryBegins() {
-			assertNoTryBeginsAfter(write(3000), AcceptOutcome.ACCEPTED);
+		void noAttemptStartsIfStored() {
+			assertNoAttemptStartsAfter(write(3000), AcceptOutcome.ACCEPTED);
 		}
 
 		@Test
-		void thatItWasFoundStoredNoTryBegins() {
-			CallerWriteTests.this.direct = () -> answer(FOUND);
-			assertNoTryBeginsAfter(write(3000), AcceptOutcome.ACCEPTED);
+		void noAttemptStartsIfFoundStored() {
+			CallerWriteTests.this.directAnswer = () -> answer(FOUND_STORED);
+			assertNoAttemptStartsAfter(write(3000), AcceptOutcome.ACCEPTED);
 		}
 
 		@Test
-		void thatItIsStoredAfterARepeatNoTryBegins() {
-			CallerWriteTests.this.direct = () -> answer(REFUSED);
+		void noAttemptStartsIfStoredByARetry() {
+			CallerWriteTests.this.directAnswer = () -> answer(REJECTED);
 			CompletableFuture<AcceptOutcome> outcome = write(3000);
-			CallerWriteTests.this.direct = () -> answer(STORED);
+			CallerWriteTests.this.directAnswer = () -> answer(STORED);
 			CallerWriteTests.this.time.runFor(100);
-			assertNoTryBeginsAfter(outcome, AcceptOutcome.ACCEPTED);
+			assertNoAttemptStartsAfter(outcome, AcceptOutcome.ACCEPTED);
 		}
 
 		@Test
-		void thatItIsStoredThroughAnotherHostNoTryBegins() {
-			CallerWriteTests.this.open = () -> false;
-			CallerWriteTests.this.relayed = () -> Optional.of(answer(STORED));
-			assertNoTryBeginsAfter(write(3000), AcceptOutcome.ACCEPTED);
+		void noAttemptStartsIfStoredThroughAnotherHost() {
+			CallerWriteTests.this.directPathOpen = () -> false;
+			CallerWriteTests.this.peerAnswer = () -> Optional.of(answer(STORED));
+			assertNoAttemptStartsAfter(write(3000), AcceptOutcome.ACCEPTED);
 		}
 
 		@Test
-		void thatNothingWasDoneNoTryBegins() {
-			CallerWriteTests.this.open = () -> false;
-			assertNoTryBeginsAfter(write(3000), AcceptOutcome.NOT_ACCEPTED);
+		void noAttemptStartsIfRejectedWithoutAnAvailablePath() {
+			CallerWriteTests.this.directPathOpen = () -> false;
+			assertNoAttemptStartsAfter(write(3000), AcceptOutcome.NOT_ACCEPTED);
 		}
 
 		@Test
-		void thatNothingWasDoneInItsTimeNoTryBegins() {
-			CallerWriteTests.this.direct = () -> answer(REFUSED);
+		void noAttemptStartsIfRejectedUntilTheDeadline() {
+			CallerWriteTests.this.directAnswer = () -> answer(REJECTED);
 			CompletableFuture<AcceptOutcome> outcome = write(3000);
 			CallerWriteTests.this.time.runFor(3000);
-			assertNoTryBeginsAfter(outcome, AcceptOutcome.NOT_ACCEPTED);
+			assertNoAttemptStartsAfter(outcome, AcceptOutcome.NOT_ACCEPTED);
 		}
 
 		@Test
-		void thatNothingIsCertainNoTryBegins() {
-			CallerWriteTests.this.direct = () -> {
-				CallerWriteTests.this.open = () -> false;
+		void noAttemptStartsIfUnknownWithoutAnAvailablePath() {
+			CallerWriteTests.this.directAnswer = () -> {
+				CallerWriteTests.this.directPathOpen = () -> false;
 				return answer(UNKNOWN);
 			};
 			CompletableFuture<AcceptOutcome> outcome = write(3000);
 			CallerWriteTests.this.time.runFor(100);
-			assertNoTryBeginsAfter(outcome, AcceptOutcome.UNKNOWN);
+			assertNoAttemptStartsAfter(outcome, AcceptOutcome.UNKNOWN);
 		}
 
 		@Test
-		void thatNothingIsCertainInItsTimeNoTryBegins() {
-			CallerWriteTests.this.direct = CompletableFuture::new;
+		void noAttemptStartsIfUnknownAtTheDeadline() {
+			CallerWriteTests.this.directAnswer = CompletableFuture::new;
 			CompletableFuture<AcceptOutcome> outcome = write(3000);
 			CallerWriteTests.this.time.runFor(3000);
-			assertNoTryBeginsAfter(outcome, AcceptOutcome.UNKNOWN);
+			assertNoAttemptStartsAfter(outcome, AcceptOutcome.UNKNOWN);
 		}
 
 		@Test
-		void whileASecondTryWasAboutToBeginItDoesNot() {
+		void noHedgedAttemptStartsIfTheFirstOneCompletesMeanwhile() {
 			CompletableFuture<PartitionCommit> first = new CompletableFuture<>();
-			CallerWriteTests.this.direct = () -> first;
+			CallerWriteTests.this.directAnswer = () -> first;
 			CompletableFuture<AcceptOutcome> outcome = write(3000);
-			CallerWriteTests.this.open = () -> {
+			CallerWriteTests.this.directPathOpen = () -> {
 				first.complete(STORED);
 				return true;
 			};
 			CallerWriteTests.this.time.runFor(1000);
-			assertThat(CallerWriteTests.this.relayedTries).isZero();
-			assertNoTryBeginsAfter(outcome, AcceptOutcome.ACCEPTED);
+			assertThat(CallerWriteTests.this.peerAttempts).isZero();
+			assertNoAttemptStartsAfter(outcome, AcceptOutcome.ACCEPTED);
 		}
 
 	}
@@ -232,19 +232,19 @@
 
 		@Override
 		public boolean isDirectPathOpen() {
-			return CallerWriteTests.this.open.getAsBoolean();
+			return CallerWriteTests.this.directPathOpen.getAsBoolean();
 		}
 
 		@Override
 		public CompletableFuture<PartitionCommit> writeDirectly(PartitionWrite write) {
-			CallerWriteTests.this.directTries++;
-			return CallerWriteTests.this.direct.get();
+			CallerWriteTests.this.directAttempts++;
+			return CallerWriteTests.this.directAnswer.get();
 		}
 
 		@Override
 		public Optional<CompletableFuture<PartitionCommit>> writeThroughPeer(PartitionWrite write) {
-			CallerWriteTests.this.relayedTries++;
-			return CallerWriteTests.this.relayed.get();
+			CallerWriteTests.this.peerAttempts++;
+			return CallerWriteTests.this.peerAnswer.get();
 		}
 
 	}
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/submission/StorageAvailabilityMonitorTests.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/submission/StorageAvailabilityMonitorTests.java
@@ -11,64 +11,64 @@
 
 class StorageAvailabilityMonitorTests {
 
-	private static final long CHECK_MILLIS = 50;
+	private static final long CHECK_INTERVAL_MILLIS = 50;
 
 	private final List<Decision> decisions = new ArrayList<>();
 
 	private long nowMillis;
 
-	private int questions;
+	private int probes;
 
-	private final StorageAvailabilityMonitor watch = new StorageAvailabilityMonitor(() -> this.questions++,
+	private final StorageAvailabilityMonitor monitor = new StorageAvailabilityMonitor(() -> this.probes++,
 			() -> TimeUnit.MILLISECONDS.toNanos(this.nowMillis), this.decisions::add);
 
 	private void runFor(long millis, Runnable each) {
 		for (long end = this.nowMillis + millis; this.nowMillis < end;) {
-			this.nowMillis += CHECK_MILLIS;
+			this.nowMillis += CHECK_INTERVAL_MILLIS;
 			each.run();
-			this.watch.probeIfDue();
+			this.monitor.probeIfDue();
 		}
 	}
 
 	@Test
-	void asksNothingWhileAnswersCome() {
-		runFor(5000, this.watch::recordResponse);
-		assertThat(this.questions).isZero();
-		assertThat(this.watch.isAvailable()).isTrue();
+	void doesNotProbeWhileResponsesArrive() {
+		runFor(5000, this.monitor::recordResponse);
+		assertThat(this.probes).isZero();
+		assertThat(this.monitor.isAvailable()).isTrue();
 	}
 
 	@Test
-	void findsASilentTableOutWithinASecondAndItsReturnAtOnce() {
-		runFor(StorageAvailabilityMonitor.SILENCE_MILLIS + StorageAvailabilityMonitor.PROBE_TIMEOUT_MILLIS
-				+ 2 * CHECK_MILLIS, () -> {
+	void detectsAnUnresponsiveTableWithinASecondAndItsRecoveryAtOnce() {
+		runFor(StorageAvailabilityMonitor.PROBE_AFTER_SILENCE_MILLIS + StorageAvailabilityMonitor.PROBE_TIMEOUT_MILLIS
+				+ 2 * CHECK_INTERVAL_MILLIS, () -> {
 				});
-		assertThat(this.watch.isAvailable()).isFalse();
+		assertThat(this.monitor.isAvailable()).isFalse();
 		runFor(2000, () -> {
 		});
-		assertThat(this.questions).isGreaterThan(5);
-		this.watch.recordResponse();
-		assertThat(this.watch.isAvailable()).isTrue();
+		assertThat(this.probes).isGreaterThan(5);
+		this.monitor.recordResponse();
+		assertThat(this.monitor.isAvailable()).isTrue();
 		assertThat(this.decisions).hasSize(2);
 	}
 
 	@Test
-	void takesASlowTableForOneThatAnswers() {
+	void treatsASlowTableAsAvailable() {
 		runFor(5000, () -> {
 			if (this.nowMillis % 500 == 0) {
-				this.watch.recordResponse();
+				this.monitor.recordResponse();
 			}
 		});
-		assertThat(this.watch.isAvailable()).isTrue();
+		assertThat(this.monitor.isAvailable()).isTrue();
 	}
 
 	@Test
-	void doesNotWaitOutATableThatTurnsQuestionsDown() {
-		runFor(StorageAvailabilityMonitor.SILENCE_MILLIS + CHECK_MILLIS, () -> {
+	void detectsRejectedProbesWithoutWaitingForATimeout() {
+		runFor(StorageAvailabilityMonitor.PROBE_AFTER_SILENCE_MILLIS + CHECK_INTERVAL_MILLIS, () -> {
 		});
-		this.watch.recordFailedProbe();
-		assertThat(this.watch.isAvailable()).isTrue();
-		this.watch.recordFailedProbe();
-		assertThat(this.watch.isAvailable()).isFalse();
+		this.monitor.recordFailedProbe();
+		assertThat(this.monitor.isAvailable()).isTrue();
+		this.monitor.recordFailedProbe();
+		assertThat(this.monitor.isAvailable()).isFalse();
 	}
 
 }
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/submission/package-info.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/submission/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Tests of taking jobs from callers.
+ * Tests of accepting jobs from callers.
  */
 package org.monsoonrelay.logic.submission;
