--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/platform/CommitResult.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/platform/CommitResult.java
@@ -3,7 +3,7 @@
 import java.util.Map;
 
 /**
- * Outcome of a transaction whose answer arrived. Immutable.
+ * Outcome of a transaction as answered by the table. Immutable.
  */
 public sealed interface CommitResult {
 
@@ -19,7 +19,8 @@
 	/**
 	 * No write took effect.
 	 *
-	 * @param versions the present version of each row whose condition failed, 0 if absent
+	 * @param versions the current version of each row whose condition failed, 0 if the
+	 * row does not exist
 	 */
 	record Conflict(Map<String, Long> versions) implements CommitResult {
 
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/platform/ConditionalWrite.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/platform/ConditionalWrite.java
@@ -5,8 +5,8 @@
  *
  * @param key the row's key
  * @param value the new value, JSON text
- * @param expectedVersion the version the row must have, {@link #ABSENT} if it must not
- * exist
+ * @param expectedVersion the version that the row must have, {@link #ABSENT} if the row
+ * must not exist
  */
 public record ConditionalWrite(String key, String value, long expectedVersion) {
 
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/platform/ExecutorCallback.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/platform/ExecutorCallback.java
@@ -4,9 +4,9 @@
 import java.util.function.BiConsumer;
 
 /**
- * Carries what becomes of a future over to an executor as a task of its own, so that a
- * failure of the callback is the executor's to handle and is not lost in a future that
- * nobody reads. Stateless and thread-safe.
+ * Runs callbacks of futures on an executor, each as a task of its own, so that an
+ * exception thrown by a callback is handled by the executor instead of being lost in a
+ * future whose result nobody reads. Stateless and thread-safe.
  */
 public final class ExecutorCallback {
 
@@ -14,10 +14,10 @@
 	}
 
 	/**
-	 * Make a callback for {@code CompletableFuture.whenComplete}.
+	 * Create a callback for {@code CompletableFuture.whenComplete}.
 	 * @param <T> type of the value
-	 * @param executor where to run the callback
-	 * @param callback takes the value or the failure
+	 * @param executor runs the callback
+	 * @param callback receives the value or the failure
 	 * @return the callback to register
 	 */
 	public static <T> BiConsumer<T, Throwable> on(Executor executor, BiConsumer<? super T, Throwable> callback) {
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/platform/HostList.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/platform/HostList.java
@@ -5,11 +5,11 @@
 import org.monsoonrelay.model.host.Host;
 
 /**
- * One reading of the platform's host list. Immutable.
+ * A snapshot of the platform's host list. Immutable.
  *
- * @param version version of the list; a reading with a lower version than one seen before
+ * @param version version of the list; a snapshot with a lower version than an earlier one
  * is stale
- * @param hosts the hosts in it
+ * @param hosts the listed hosts
  */
 public record HostList(long version, List<Host> hosts) {
 
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/platform/Json.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/platform/Json.java
@@ -15,12 +15,12 @@
 import com.fasterxml.jackson.datatype.jsr310.JavaTimeModule;
 
 /**
- * The one JSON mapping of the project. Thread-safe.
+ * The JSON mapping shared by all modules. Stateless and thread-safe.
  */
 public final class Json {
 
 	/**
-	 * Mapper that refuses duplicate keys and unknown properties.
+	 * Strict mapper that rejects duplicate keys and unknown properties.
 	 */
 	public static final ObjectMapper MAPPER = JsonMapper.builder()
 		.addModule(new JavaTimeModule())
@@ -50,7 +50,7 @@
 	}
 
 	/**
-	 * Write a value that the project itself made.
+	 * Serialize a value.
 	 * @param value the value
 	 * @return its JSON text
 	 */
@@ -64,12 +64,12 @@
 	}
 
 	/**
-	 * Read a value that the project itself wrote.
+	 * Parse a value written by this release, rejecting unknown properties.
 	 * @param <T> type of the value
 	 * @param text the JSON text
 	 * @param type type of the value
 	 * @return the value
-	 * @throws IllegalArgumentException if the text does not hold such a value
+	 * @throws IllegalArgumentException if the text is not such a value
 	 */
 	public static <T> T read(String text, Class<T> type) {
 		try {
@@ -81,31 +81,32 @@
 	}
 
 	/**
-	 * Read a value that others wrote, passing over unknown properties.
+	 * Parse a value written by another program, ignoring unknown properties.
 	 * @param <T> type of the value
 	 * @param text the JSON text
 	 * @param type type of the value
 	 * @return the value
-	 * @throws JsonProcessingException if the text does not hold such a value
+	 * @throws JsonProcessingException if the text is not such a value
 	 */
 	public static <T> T readLeniently(String text, Class<T> type) throws JsonProcessingException {
-		return present(LENIENT.forType(type).readValue(text), type);
+		return requireValue(LENIENT.forType(type).readValue(text), type);
 	}
 
 	/**
-	 * Read a value that a process of this project wrote, maybe one of another release.
-	 * Unknown properties are passed over; nothing of another type is made to fit.
+	 * Parse a value written by a process of this project, possibly of another release.
+	 * Unknown properties are ignored; values of a wrong type are rejected rather than
+	 * coerced.
 	 * @param <T> type of the value
 	 * @param text the JSON text
 	 * @param type type of the value
 	 * @return the value
-	 * @throws JsonProcessingException if the text does not hold such a value
+	 * @throws JsonProcessingException if the text is not such a value
 	 */
 	public static <T> T readRow(String text, Class<T> type) throws JsonProcessingException {
-		return present(ROWS.readValue(text, type), type);
+		return requireValue(ROWS.readValue(text, type), type);
 	}
 
-	private static <T> T present(T value, Class<T> type) throws JsonProcessingException {
+	private static <T> T requireValue(T value, Class<T> type) throws JsonProcessingException {
 		if (value == null) {
 			throw MismatchedInputException.from(null, type, "no value");
 		}
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/platform/MonotonicInstantSource.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/platform/MonotonicInstantSource.java
@@ -5,9 +5,9 @@
 import java.util.function.LongSupplier;
 
 /**
- * Time of one process: the wall clock read once at the start, moved on by the monotonic
- * clock. A wall clock that is set, forth or back, moves no deadline of the process.
- * Immutable and thread-safe.
+ * Time source of one process: the wall clock is read once at the start and advanced by
+ * the monotonic clock. Setting the wall clock forward or back therefore moves no deadline
+ * of the process. Immutable and thread-safe.
  */
 public final class MonotonicInstantSource implements InstantSource {
 
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/platform/ObjectStore.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/platform/ObjectStore.java
@@ -4,9 +4,9 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * The platform's object store. Objects are written once under a name that follows from
- * their content. Implementations are safe for use by several threads; futures fail with
- * {@link PlatformException} when no answer came.
+ * The platform's object store. Objects are immutable and named by a digest of their
+ * content. Implementations are thread-safe; futures fail with {@link PlatformException}
+ * if no answer arrives.
  */
 public interface ObjectStore {
 
@@ -14,14 +14,14 @@
 	 * Store an object. Idempotent.
 	 * @param name the object's name
 	 * @param content the content
-	 * @return completes when the store has it
+	 * @return completes when the object is stored
 	 */
 	CompletableFuture<Void> put(String name, String content);
 
 	/**
 	 * Fetch an object.
 	 * @param name the object's name
-	 * @return the content, if the object exists
+	 * @return the content, empty if the object does not exist
 	 */
 	CompletableFuture<Optional<String>> get(String name);
 
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/platform/ObservedTable.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/platform/ObservedTable.java
@@ -4,30 +4,30 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * A table that tells of each answer it gives. A write that the table turned down is no
- * answer in this sense. Thread-safe if the table is.
+ * Decorates a table with a callback for each response, as evidence that the table is
+ * reachable. A rejected write does not count as a response. Thread-safe if the table is.
  */
 public final class ObservedTable implements PartitionedTable {
 
 	private final PartitionedTable table;
 
-	private final Runnable answered;
+	private final Runnable onResponse;
 
 	/**
-	 * Observe a table.
+	 * Decorate a table.
 	 * @param table the table
-	 * @param answered called on the table's threads after each answer
+	 * @param onResponse called on the threads of the table after each response
 	 */
-	public ObservedTable(PartitionedTable table, Runnable answered) {
+	public ObservedTable(PartitionedTable table, Runnable onResponse) {
 		this.table = table;
-		this.answered = answered;
+		this.onResponse = onResponse;
 	}
 
 	@Override
 	public CompletableFuture<PartitionCommit> commit(PartitionWrite write) {
 		return this.table.commit(write).whenComplete((commit, failure) -> {
 			if (commit instanceof PartitionCommit.Committed || commit instanceof PartitionCommit.Conflict) {
-				this.answered.run();
+				this.onResponse.run();
 			}
 		});
 	}
@@ -45,7 +45,7 @@
 	private <T> CompletableFuture<T> observe(CompletableFuture<T> answer) {
 		return answer.whenComplete((value, failure) -> {
 			if (failure == null) {
-				this.answered.run();
+				this.onResponse.run();
 			}
 		});
 	}
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/platform/PartitionCommit.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/platform/PartitionCommit.java
@@ -3,14 +3,14 @@
 import java.util.List;
 
 /**
- * What became of a {@link PartitionWrite}.
+ * Outcome of a {@link PartitionWrite}. Immutable.
  */
 public sealed interface PartitionCommit {
 
 	/**
 	 * The write took effect.
 	 *
-	 * @param version the version it got
+	 * @param version the version assigned to the write
 	 */
 	record Committed(long version) implements PartitionCommit {
 
@@ -19,7 +19,7 @@
 	/**
 	 * A condition did not hold; nothing was written.
 	 *
-	 * @param current the rows that exist of those named in conditions
+	 * @param current the existing rows among those named in the conditions
 	 */
 	record Conflict(List<TableRow> current) implements PartitionCommit {
 
@@ -30,18 +30,18 @@
 	}
 
 	/**
-	 * The service turned the write down; nothing was or will be written.
+	 * The service rejected the write, which neither took effect nor will.
 	 *
-	 * @param reason what it said
+	 * @param reason the reason given by the service
 	 */
 	record NotDone(String reason) implements PartitionCommit {
 
 	}
 
 	/**
-	 * No answer came: the write may have taken effect, or may still do so.
+	 * No answer arrived: the write may have taken effect or may still take effect.
 	 *
-	 * @param reason what happened
+	 * @param reason why there is no answer
 	 */
 	record Unknown(String reason) implements PartitionCommit {
 
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/platform/PartitionWrite.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/platform/PartitionWrite.java
@@ -4,10 +4,10 @@
 import java.util.List;
 
 /**
- * Writes to one partition that take effect all or none. Immutable.
+ * An atomic, conditional write of rows in one partition. Immutable.
  *
  * @param partition the partition
- * @param conditions versions that rows must have
+ * @param conditions the required versions of rows
  * @param puts rows to write
  * @param removals rows to remove
  */
@@ -20,20 +20,20 @@
 	}
 
 	/**
-	 * Begin a write.
+	 * Create a write without entries.
 	 * @param partition the partition
-	 * @return the write without entries
+	 * @return the write
 	 */
 	public static PartitionWrite to(String partition) {
 		return new PartitionWrite(partition, List.of(), List.of(), List.of());
 	}
 
 	/**
-	 * Demand a row's version.
+	 * Add a condition on the version of a row.
 	 * @param table the table
 	 * @param key the row's key
 	 * @param version the version it must have, 0 if it must not exist
-	 * @return the write with the condition
+	 * @return a copy with the condition
 	 */
 	public PartitionWrite onVersion(String table, String key, long version) {
 		return new PartitionWrite(this.partition, with(this.conditions, new Condition(table, key, version)), this.puts,
@@ -41,25 +41,25 @@
 	}
 
 	/**
-	 * Write a row.
+	 * Add a row to write.
 	 * @param table the table
 	 * @param key the row's key
 	 * @param value the value, JSON text
-	 * @return the write with the row
+	 * @return a copy with the row
 	 */
 	public PartitionWrite put(String table, String key, String value) {
 		return new PartitionWrite(this.partition, this.conditions, with(this.puts, new Put(table, key, value)),
 				this.removals);
 	}
 
-	private static <T> List<T> with(List<T> present, T more) {
-		List<T> all = new ArrayList<>(present);
-		all.add(more);
+	private static <T> List<T> with(List<T> existing, T added) {
+		List<T> all = new ArrayList<>(existing);
+		all.add(added);
 		return all;
 	}
 
 	/**
-	 * A version that a row must have.
+	 * The required version of a row.
 	 *
 	 * @param table the table
 	 * @param key the row's key
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/platform/PartitionedTable.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/platform/PartitionedTable.java
@@ -4,17 +4,17 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * The platform's transactional table where it has partitions and a feed of changes.
- * Implementations are safe for use by several threads. Futures of reads fail with
- * {@link PlatformException} when no usable answer came; a commit never fails but says
+ * The platform's transactional table with partitions and a change feed. Implementations
+ * are thread-safe. Futures of reads fail with {@link PlatformException} if no usable
+ * answer arrives; the future of a commit never fails but completes with
  * {@link PartitionCommit.Unknown}.
  */
 public interface PartitionedTable {
 
 	/**
-	 * Write rows of one partition, all or none.
+	 * Write rows of one partition atomically.
 	 * @param write the write
-	 * @return what became of it
+	 * @return the outcome
 	 */
 	CompletableFuture<PartitionCommit> commit(PartitionWrite write);
 
@@ -22,8 +22,8 @@
 	 * Read rows of one partition in the order of their keys.
 	 * @param table the table
 	 * @param partition the partition
-	 * @param from the first key wanted, empty for the beginning
-	 * @param limit the most rows to return
+	 * @param from the first key to read, empty to start at the beginning
+	 * @param limit the maximum number of rows to return
 	 * @return the rows
 	 */
 	CompletableFuture<TablePage> read(String table, String partition, String from, int limit);
@@ -31,9 +31,9 @@
 	/**
 	 * Wait for changes of a table in any partition.
 	 * @param table the table
-	 * @param after the version after which changes are wanted
-	 * @param wait how long to wait for the first one
-	 * @return the changes, none if the time passed without any
+	 * @param after the version after which to return changes
+	 * @param wait how long to wait for the first change
+	 * @return the changes, empty if there was none within the time
 	 */
 	CompletableFuture<TableChanges> changes(String table, long after, Duration wait);
 
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/platform/PlatformException.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/platform/PlatformException.java
@@ -1,8 +1,8 @@
 package org.monsoonrelay.logic.platform;
 
 /**
- * The platform gave no usable answer. Whether a write took effect is told by
- * {@link #mayHaveTakenEffect()}.
+ * Thrown if the platform gave no usable answer. {@link #mayHaveTakenEffect()} states
+ * whether a write may have been applied.
  */
 public class PlatformException extends RuntimeException {
 
@@ -14,8 +14,8 @@
 	}
 
 	/**
-	 * Tell whether the call may have changed something.
-	 * @return {@code false} if it is certain that nothing was changed
+	 * Whether the call may have changed the state of the platform.
+	 * @return {@code false} if the call certainly had no effect
 	 */
 	public boolean mayHaveTakenEffect() {
 		return this.mayHaveTakenEffect;
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/platform/Row.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/platform/Row.java
@@ -5,7 +5,7 @@
  *
  * @param key the row's key
  * @param value the row's value, JSON text
- * @param version the row's version; grows with each write of any row
+ * @param version the row's version; increases with each write of any row
  */
 public record Row(String key, String value, long version) {
 
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/platform/TableFollower.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/platform/TableFollower.java
@@ -10,26 +10,26 @@
 import java.util.function.Supplier;
 
 /**
- * Follows a table: reads each partition whole, waits for changes from the first answer of
- * these reads on, and reads all again when the history of changes is lost. A partition
- * whose read is older than that answer is read again. A partition that does not answer
- * holds up neither the others nor the changes. The listener sees every change in order,
- * or a snapshot of its partition that contains it; a change may come before the snapshot
- * of its partition. Confined to the executor that it is given, on which the listener is
- * called.
+ * Follows a table by change feed. It reads every partition in full, polls for changes
+ * from the version of the first completed read on, and reads all partitions again if the
+ * change history is lost. A partition read at an older version than that is read again. A
+ * partition that does not answer delays neither the other partitions nor the changes. The
+ * listener receives every change in order, or a snapshot of its partition that contains
+ * it; a change may arrive before the snapshot of its partition. Confined to the given
+ * executor, on which the listener is called.
  */
 public final class TableFollower {
 
 	/**
-	 * How long one call waits for a change, milliseconds. A connection that went silent
-	 * is found out after this and the client's grace, well within the two seconds in
-	 * which a change has to be in force.
+	 * How long one call waits for a change, milliseconds. A stalled connection is
+	 * detected after this time plus the grace period of the client, well within the 2 s
+	 * in which a change has to take effect.
 	 */
 	private static final long WAIT_MILLIS = 900;
 
 	/**
-	 * Pause after a failed call, milliseconds; bounds the calls to a service that is
-	 * down.
+	 * Delay after a failed call, milliseconds; limits the rate of calls to a service that
+	 * is down.
 	 */
 	private static final long RETRY_MILLIS = 150;
 
@@ -41,7 +41,7 @@
 
 	private final List<String> partitions;
 
-	private final Supplier<Duration> spacing;
+	private final Supplier<Duration> minimumInterval;
 
 	private final ScheduledExecutorService executor;
 
@@ -49,9 +49,9 @@
 
 	private long version;
 
-	private long followedFrom;
+	private long followedFromVersion;
 
-	private int generation;
+	private int loadGeneration;
 
 	private boolean following;
 
@@ -68,14 +68,14 @@
 	 * @param table the service
 	 * @param name the table to follow
 	 * @param partitions its partitions
-	 * @param spacing the least time between two calls that brought changes, so that many
-	 * small changes arrive together
+	 * @param minimumInterval the minimum time between two calls that returned changes, so
+	 * that small changes are batched
 	 * @param executor a single thread
-	 * @param listener told of rows
+	 * @param listener receives the rows
 	 */
-	public TableFollower(PartitionedTable table, String name, List<String> partitions, Duration spacing,
+	public TableFollower(PartitionedTable table, String name, List<String> partitions, Duration minimumInterval,
 			ScheduledExecutorService executor, Listener listener) {
-		this(table, name, partitions, () -> spacing, executor, listener);
+		this(table, name, partitions, () -> minimumInterval, executor, listener);
 	}
 
 	/**
@@ -83,62 +83,64 @@
 	 * @param table the service
 	 * @param name the table to follow
 	 * @param partitions its partitions
-	 * @param spacing tells the least time between two calls that brought changes
+	 * @param minimumInterval supplies the minimum time between two calls that returned
+	 * changes
 	 * @param executor a single thread
-	 * @param listener told of rows
+	 * @param listener receives the rows
 	 */
-	public TableFollower(PartitionedTable table, String name, List<String> partitions, Supplier<Duration> spacing,
-			ScheduledExecutorService executor, Listener listener) {
+	public TableFollower(PartitionedTable table, String name, List<String> partitions,
+			Supplier<Duration> minimumInterval, ScheduledExecutorService executor, Listener listener) {
 		this.table = table;
 		this.name = name;
 		this.partitions = List.copyOf(partitions);
-		this.spacing = spacing;
+		this.minimumInterval = minimumInterval;
 		this.executor = executor;
 		this.listener = listener;
 	}
 
 	/**
-	 * After a pause tell of rows as they are then, without what was written and replaced
-	 * in it. Spares the history of a table of few rows that are written all the while; a
-	 * row that was dropped in a pause is not told.
-	 * @return this follower, which has not begun
+	 * After a pause, deliver only the latest version of each row, without the versions
+	 * replaced during the pause. This saves transferring the history of a table with few
+	 * rows that are written continuously. A row deleted during a pause is not reported.
+	 * @return this follower, which must not have been started
 	 * @throws IllegalStateException if it follows several partitions
 	 */
 	public TableFollower latestOnly() {
 		if (this.partitions.size() > 1) {
-			throw new IllegalStateException("the latest rows are those of one partition");
+			throw new IllegalStateException("latestOnly requires a single partition");
 		}
 		this.latestOnly = true;
 		return this;
 	}
 
 	/**
-	 * Begin to follow.
+	 * Start following.
 	 */
 	public void start() {
-		this.executor.execute(this::load);
+		this.executor.execute(this::loadPartitions);
 	}
 
 	/**
-	 * Stop following; the listener may hear of one more answer under way.
+	 * Stop following; the listener may still receive the response to one call in flight.
 	 */
 	public void close() {
 		this.closed = true;
 	}
 
 	/**
-	 * Read now what has changed so far, and tell the listener before the caller. Tried
-	 * until it succeeds; without effect before the first partition is loaded. The
-	 * listener may hear of some of these changes twice. A pause between two calls ends.
-	 * @param done called once all changes up to this call have been told
+	 * Read all changes up to now and deliver them to the listener before the callback is
+	 * called. Retried until it succeeds; has no effect before the first partition is
+	 * loaded. The listener may receive some of these changes twice. Ends a pause between
+	 * two calls.
+	 * @param done called once all changes up to this call have been delivered
 	 */
 	public void catchUp(Runnable done) {
 		if (this.closed || !this.following) {
 			return;
 		}
-		int ofGeneration = this.generation;
+		int ofGeneration = this.loadGeneration;
 		changesSoFar().whenComplete(ExecutorCallback.on(this.executor, (changes, failure) -> {
-			if (ofGeneration != this.generation) {
+			if (ofGeneration != this.loadGeneration) {
 				return;
 			}
 			if (failure != null || changes.historyLost()) {
@@ -158,40 +160,39 @@
 		}));
 	}
 
-	private void load() {
+	private void loadPartitions() {
 		if (this.closed) {
 			return;
 		}
-		this.generation++;
+		this.loadGeneration++;
 		this.following = false;
-		this.partitions.forEach((partition) -> load(partition, this.generation));
+		this.partitions.forEach((partition) -> loadPartition(partition, this.loadGeneration));
 	}
 
-	private void load(String partition, int ofGeneration) {
-		if (this.closed || ofGeneration != this.generation) {
+	private void loadPartition(String partition, int ofGeneration) {
+		if (this.closed || ofGeneration != this.loadGeneration) {
 			return;
 		}
 		read(partition, "", new PartitionRows(new ArrayList<>(), Long.MAX_VALUE))
 			.whenComplete(ExecutorCallback.on(this.executor, (loaded, failure) -> {
-				if (this.closed || ofGeneration != this.generation) {
+				if (this.closed || ofGeneration != this.loadGeneration) {
 					return;
 				}
 				if (failure != null) {
-					failed(failure, () -> load(partition, ofGeneration));
+					handleFailure(failure, () -> loadPartition(partition, ofGeneration));
 					return;
 				}
-				answered();
+				handleResponse();
 				boolean isFirst = !this.following;
 				if (isFirst) {
 					this.following = true;
 					this.version = loaded.version();
-					this.followedFrom = loaded.version();
+					this.followedFromVersion = loaded.version();
 				}
-				// A read that was carried out before that one, but answered later, may
-				// miss
-				// what changed between the two.
-				if (loaded.version() < this.followedFrom) {
-					load(partition, ofGeneration);
+				// Such a read was executed before the first answered one and may
+				// miss changes made between the two.
+				if (loaded.version() < this.followedFromVersion) {
+					loadPartition(partition, ofGeneration);
 					return;
 				}
 				this.listener.snapshot(partition, loaded.rows());
@@ -213,29 +214,29 @@
 	}
 
 	private void follow() {
-		ask(() -> this.table.changes(this.name, this.version, Duration.ofMillis(WAIT_MILLIS)));
+		poll(() -> this.table.changes(this.name, this.version, Duration.ofMillis(WAIT_MILLIS)));
 	}
 
 	private void followAfterPause() {
 		if (this.latestOnly) {
-			ask(this::latest);
+			poll(this::latest);
 		}
 		else {
 			follow();
 		}
 	}
 
-	private void ask(Supplier<CompletableFuture<TableChanges>> question) {
+	private void poll(Supplier<CompletableFuture<TableChanges>> call) {
 		if (this.closed) {
 			return;
 		}
-		question.get().whenComplete(ExecutorCallback.on(this.executor, (changes, failure) -> {
+		call.get().whenComplete(ExecutorCallback.on(this.executor, (changes, failure) -> {
 			if (failure != null) {
-				failed(failure, () -> ask(question));
+				handleFailure(failure, () -> poll(call));
 				return;
 			}
-			answered();
-			take(changes);
+			handleResponse();
+			applyChanges(changes);
 		}));
 	}
 
@@ -248,15 +249,15 @@
 		return read(this.partitions.get(0), "", new PartitionRows(new ArrayList<>(), Long.MAX_VALUE))
 			.thenApply((latest) -> {
 				List<TableRow> newer = latest.rows().stream().filter((row) -> row.version() > known).toList();
-				// Without a change the feed is asked next, which tells of a dropped row.
+				// Without a change the feed is polled next, which reports deleted rows.
 				return new TableChanges(newer, newer.isEmpty() ? known : latest.version(), false, false);
 			});
 	}
 
-	private void take(TableChanges changes) {
+	private void applyChanges(TableChanges changes) {
 		if (changes.historyLost()) {
 			this.listener.historyLost();
-			load();
+			loadPartitions();
 			return;
 		}
 		this.version = Math.max(this.version, changes.version());
@@ -266,27 +267,28 @@
 		}
 		this.listener.changed(changes.rows());
 		if (changes.more()) {
-			// A pause between cut answers lets a follower fall behind without end.
+			// Pausing after a truncated answer would increase the lag without
+			// bound.
 			follow();
 			return;
 		}
-		this.pause = this.executor.schedule(this::followAfterPause, this.spacing.get().toMillis(),
+		this.pause = this.executor.schedule(this::followAfterPause, this.minimumInterval.get().toMillis(),
 				TimeUnit.MILLISECONDS);
 	}
 
-	private void answered() {
+	private void handleResponse() {
 		if (this.failing) {
 			this.failing = false;
 			this.listener.onAvailable();
 		}
 	}
 
-	private void failed(Throwable failure, Runnable again) {
+	private void handleFailure(Throwable failure, Runnable retry) {
 		if (!this.failing) {
 			this.failing = true;
 			this.listener.onUnavailable(failure);
 		}
-		this.executor.schedule(again, RETRY_MILLIS, TimeUnit.MILLISECONDS);
+		this.executor.schedule(retry, RETRY_MILLIS, TimeUnit.MILLISECONDS);
 	}
 
 	private record PartitionRows(List<TableRow> rows, long version) {
@@ -294,32 +296,33 @@
 	}
 
 	/**
-	 * Told of a followed table, on the follower's executor.
+	 * Receives the content and changes of a followed table, on the executor of the
+	 * follower.
 	 */
 	public interface Listener {
 
 		/**
-		 * All rows of a partition, in place of all that was known of it.
+		 * All rows of a partition, replacing everything received for it before.
 		 * @param partition the partition
 		 * @param rows the rows that exist
 		 */
 		void snapshot(String partition, List<TableRow> rows);
 
 		/**
-		 * Rows that changed.
+		 * Changed rows.
 		 * @param rows the rows in the order of their versions
 		 */
 		void changed(List<TableRow> rows);
 
 		/**
-		 * Calls have begun to fail.
+		 * Calls started to fail.
 		 * @param failure the first failure
 		 */
 		default void onUnavailable(Throwable failure) {
 		}
 
 		/**
-		 * Calls succeed again.
+		 * Calls succeed again after failures.
 		 */
 		default void onAvailable() {
 		}
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/platform/TableKeys.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/platform/TableKeys.java
@@ -3,7 +3,8 @@
 import org.monsoonrelay.model.job.JobId;
 
 /**
- * Keys of the rows that monsoonrelay keeps in the platform's table.
+ * Keys of the rows that monsoonrelay stores in the platform's table. Stateless and
+ * thread-safe.
  */
 public final class TableKeys {
 
@@ -13,33 +14,33 @@
 	/** Prefix of the audit trail. */
 	public static final String EDITS = "edits/";
 
-	/** Prefix of the edits by their own identity. */
+	/** Prefix of accepted edits by edit id. */
 	public static final String EDIT_IDS = "edit-ids/";
 
 	/** Prefix of the sessions. */
 	public static final String SESSIONS = "sessions/";
 
-	/** Prefix of all owners. */
+	/** Prefix of all ownership rows. */
 	public static final String OWNERS = "owners/";
 
-	/** Prefix of the owners of racks. */
+	/** Prefix of the ownership of racks. */
 	public static final String RACKS = "owners/racks/";
 
-	/** Prefix of the owners of teams' queues. */
+	/** Prefix of the ownership of teams' queues. */
 	public static final String QUEUES = "owners/queues/";
 
 	/** Prefix of the progress of jobs. */
 	public static final String JOBS = "jobs/";
 
-	/** Prefix of the keys of requests that may not be repeated. */
+	/** Prefix of the keys of requests that must not run twice. */
 	public static final String REQUEST_KEYS = "requests/";
 
 	private TableKeys() {
 	}
 
 	/**
-	 * Key of one entry of the audit trail; keys sort by version.
-	 * @param version the version the edit made
+	 * Key of an accepted edit in the audit trail; keys sort by version.
+	 * @param version the version created by the edit
 	 * @return the key
 	 */
 	public static String edit(long version) {
@@ -47,10 +48,10 @@
 	}
 
 	/**
-	 * Key of an audit entry of an edit that was turned down; it sorts behind the version
-	 * that stood then.
-	 * @param version the version that stood
-	 * @param editId the edit
+	 * Key of a rejected edit in the audit trail; it sorts after the version that was
+	 * active at the time.
+	 * @param version the version active at the time
+	 * @param editId the id of the edit
 	 * @return the key
 	 */
 	public static String rejectedEdit(long version, String editId) {
@@ -58,8 +59,8 @@
 	}
 
 	/**
-	 * Key of the row that an accepted edit leaves under its own identity.
-	 * @param editId the edit
+	 * Key of the row that marks an edit as accepted.
+	 * @param editId the id of the edit
 	 * @return the key
 	 */
 	public static String editId(String editId) {
@@ -68,7 +69,7 @@
 
 	/**
 	 * Key of a job's progress.
-	 * @param id the job
+	 * @param id the id of the job
 	 * @return the key
 	 */
 	public static String job(JobId id) {
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/platform/TablePage.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/platform/TablePage.java
@@ -3,11 +3,11 @@
 import java.util.List;
 
 /**
- * Rows of one partition as of one moment. Immutable.
+ * A page of rows of one partition, read at one version. Immutable.
  *
  * @param rows the rows in the order of their keys
- * @param truncated whether more follow
- * @param version newest version of the service at that moment
+ * @param truncated whether more rows follow
+ * @param version newest version of the table service at the time of the read
  */
 public record TablePage(List<TableRow> rows, boolean truncated, long version) {
 
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/platform/UnreadableRows.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/platform/UnreadableRows.java
@@ -11,20 +11,21 @@
 import org.monsoonrelay.logic.events.ProcessDecision;
 
 /**
- * The rows of the table that this process could not read: written by others, by another
- * release, or damaged. Each is told once for each reason until it can be read again, and
- * counted each time. Invariant: remembers a bounded number of rows. Thread-safe.
+ * Tracks table rows that this process could not parse: rows written by another program or
+ * release, or corrupted rows. Each row is logged once per reason until it becomes
+ * readable again, and every occurrence is counted. Invariant: the number of remembered
+ * rows is bounded. Thread-safe.
  */
 public final class UnreadableRows {
 
 	/**
-	 * Most rows that are remembered, the latest: four times the workers of a large pool.
-	 * A row that was forgotten is told again.
+	 * Maximum number of remembered rows, four times the workers of a large pool. The
+	 * oldest row is dropped first, and is logged again if it is still unreadable.
 	 */
-	private static final int MOST_ROWS = 1000;
+	private static final int MAX_ROWS = 1000;
 
-	/** Most characters of a reason, which may quote what was read. */
-	private static final int LONGEST_REASON = 200;
+	/** Maximum length of a reason in characters; a reason may quote the row. */
+	private static final int MAX_REASON_LENGTH = 200;
 
 	private final DecisionLog log;
 
@@ -34,7 +35,7 @@
 
 		@Override
 		protected boolean removeEldestEntry(Map.Entry<String, String> eldest) {
-			return size() > MOST_ROWS;
+			return size() > MAX_ROWS;
 		}
 
 	});
@@ -44,11 +45,11 @@
 	}
 
 	/**
-	 * Read the value of a row.
+	 * Parse the value of a row.
 	 * @param <T> type of the value
 	 * @param row the row
 	 * @param type type of the value
-	 * @return the value, empty if it could not be read, which is noted
+	 * @return the value, empty if it is unreadable, which is reported
 	 */
 	public <T> Optional<T> read(TableRow row, Class<T> type) {
 		try {
@@ -63,20 +64,20 @@
 	}
 
 	/**
-	 * Note that a row could not be read.
+	 * Report an unreadable row.
 	 * @param row the row
-	 * @param reason why
+	 * @param reason why it is unreadable
 	 */
 	public void report(TableRow row, String reason) {
 		this.count.incrementAndGet();
-		String told = bounded(String.valueOf(reason));
-		if (!told.equals(this.reasons.put(name(row), told))) {
-			this.log.write(new ProcessDecision.RowUnreadable(row.table(), row.key(), told));
+		String boundedReason = truncate(String.valueOf(reason));
+		if (!boundedReason.equals(this.reasons.put(name(row), boundedReason))) {
+			this.log.write(new ProcessDecision.RowUnreadable(row.table(), row.key(), boundedReason));
 		}
 	}
 
 	/**
-	 * Note that a row could be read, or is gone.
+	 * Clear the record of a row that is readable or deleted.
 	 * @param row the row
 	 */
 	public void clear(TableRow row) {
@@ -86,15 +87,15 @@
 	}
 
 	/**
-	 * How often a row could not be read.
+	 * The number of failed attempts to read a row.
 	 * @return the count since the process started
 	 */
 	public long count() {
 		return this.count.get();
 	}
 
-	private static String bounded(String reason) {
-		return (reason.length() > LONGEST_REASON) ? reason.substring(0, LONGEST_REASON) : reason;
+	private static String truncate(String reason) {
+		return (reason.length() > MAX_REASON_LENGTH) ? reason.substring(0, MAX_REASON_LENGTH) : reason;
 	}
 
 	private static String name(TableRow row) {
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/platform/WriteBudget.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/platform/WriteBudget.java
@@ -6,9 +6,9 @@
 import java.util.function.LongSupplier;
 
 /**
- * How many rows one process may write. Invariant: no span of a second sees more rows than
- * allowed, so that a backlog after an outage does not overrun the store. Not thread-safe:
- * confined to the control thread.
+ * Limits the rate at which one process writes rows. Invariant: no window of one second
+ * contains more rows than the limit, so that a backlog after an outage does not overload
+ * the store. Not thread-safe: confined to the control thread.
  */
 public final class WriteBudget {
 
@@ -28,7 +28,7 @@
 	}
 
 	/**
-	 * A budget without a limit.
+	 * Create a budget without a limit.
 	 * @return the budget
 	 */
 	public static WriteBudget unlimited() {
@@ -36,16 +36,16 @@
 	}
 
 	/**
-	 * Change the share of this process, because processes came or went.
-	 * @param rows rows a second
+	 * Set the share of this process after the number of processes changed.
+	 * @param rows the limit in rows per second
 	 */
 	public void setRowsPerSecond(int rows) {
 		this.rowsPerSecond = rows;
 	}
 
 	/**
-	 * Rows that may be written now.
-	 * @return the count, 0 or more
+	 * Number of rows that may be written now.
+	 * @return the number, not negative
 	 */
 	public int available() {
 		long now = this.monotonicNanos.getAsLong();
@@ -56,8 +56,8 @@
 	}
 
 	/**
-	 * Note rows that are being written.
-	 * @param rows the count
+	 * Count rows that are being written against the limit.
+	 * @param rows the number of rows
 	 */
 	public void spend(int rows) {
 		if (this.rowsPerSecond != Integer.MAX_VALUE) {
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/platform/package-info.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/platform/package-info.java
@@ -1,4 +1,5 @@
 /**
- * Ports to the platform's table service, object store and host list.
+ * Interfaces to the platform's table service, object store and host list, and a follower
+ * of table changes.
  */
 package org.monsoonrelay.logic.platform;
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/platform/TableFollowerTests.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/platform/TableFollowerTests.java
@@ -22,12 +22,12 @@
 
 	private final ScheduledExecutorService executor = Executors.newSingleThreadScheduledExecutor();
 
-	private final Rows rows = new Rows();
+	private final ManualTable table = new ManualTable();
 
-	private final List<String> heard = new ArrayList<>();
+	private final List<String> receivedKeys = new ArrayList<>();
 
-	private final TableFollower follower = new TableFollower(this.rows, TABLE, List.of("p", "q"), Duration.ZERO,
-			this.executor, new Heard());
+	private final TableFollower follower = new TableFollower(this.table, TABLE, List.of("p", "q"), Duration.ZERO,
+			this.executor, new RecordingListener());
 
 	@AfterEach
 	void close() {
@@ -35,8 +35,8 @@
 		this.executor.shutdownNow();
 	}
 
-	/** Everything that the executor was given so far has run. */
-	private void settle() throws Exception {
+	/** Waits until the tasks submitted so far, and those that they submit, have run. */
+	private void awaitExecutor() throws Exception {
 		for (int i = 0; i < 3; i++) {
 			this.executor.submit(() -> {
 			}).get(10, TimeUnit.SECONDS);
@@ -48,106 +48,107 @@
 	}
 
 	@Test
-	void hearsOfARowThatWasWrittenBetweenTheReadsOfTwoPartitions() throws Exception {
+	void receivesARowWrittenBetweenTheReadsOfTwoPartitions() throws Exception {
 		this.follower.start();
-		settle();
-		// The read of q was carried out first, at 5, and answered last.
-		this.rows.answer("p", new TablePage(List.of(), false, 7));
-		settle();
-		this.rows.answer("q", new TablePage(List.of(), false, 5));
-		settle();
-		this.rows.answer("q", new TablePage(List.of(row("q", "between", 6)), false, 7));
-		settle();
-		assertThat(this.rows.followedFrom).isEqualTo(7);
-		assertThat(this.heard).containsExactly("between");
+		awaitExecutor();
+		// The read of q is executed first, at version 5, but answered last.
+		this.table.answer("p", new TablePage(List.of(), false, 7));
+		awaitExecutor();
+		this.table.answer("q", new TablePage(List.of(), false, 5));
+		awaitExecutor();
+		this.table.answer("q", new TablePage(List.of(row("q", "between", 6)), false, 7));
+		awaitExecutor();
+		assertThat(this.table.followedFrom).isEqualTo(7);
+		assertThat(this.receivedKeys).containsExactly("between");
 	}
 
 	@Test
 	void followsAsSoonAsOnePartitionIsRead() throws Exception {
 		this.follower.start();
-		settle();
-		this.rows.answer("q", new TablePage(List.of(row("q", "old", 3)), false, 7));
-		settle();
-		assertThat(this.rows.followedFrom).isEqualTo(7);
-		assertThat(this.heard).containsExactly("old");
-		this.rows.answer("p", new TablePage(List.of(row("p", "later", 8)), false, 9));
-		settle();
-		assertThat(this.heard).containsExactly("old", "later");
+		awaitExecutor();
+		this.table.answer("q", new TablePage(List.of(row("q", "old", 3)), false, 7));
+		awaitExecutor();
+		assertThat(this.table.followedFrom).isEqualTo(7);
+		assertThat(this.receivedKeys).containsExactly("old");
+		this.table.answer("p", new TablePage(List.of(row("p", "later", 8)), false, 9));
+		awaitExecutor();
+		assertThat(this.receivedKeys).containsExactly("old", "later");
 	}
 
 	/**
-	 * What hosts heard by the feed grew older all the while, 15.6 s old after 35 s. The
-	 * table gives at most 500 rows an answer, and a follower paused after each answer as
-	 * if it had heard all: an answer covered 205 versions while the table went on by 656.
-	 * Shown by the versions of a calm day: at the end of an answer the follower stood 250
-	 * behind the owner's message at 1 s, 2,647 at 20 s and 4,474 at 36 s.
+	 * Guards against a growing lag of the feed, which reached 15.6 s after 35 s. An
+	 * answer contains at most 500 rows, and the follower paused after a truncated answer
+	 * as after a complete one: an answer covered 205 versions while the table advanced by
+	 * 656. The follower was 250 versions behind the owner's messages after 1 s, 2,647
+	 * after 20 s and 4,474 after 36 s.
 	 */
 	@Test
-	void readsOnAtOnceAfterAnAnswerThatWasCut() throws Exception {
-		TableFollower pausing = new TableFollower(this.rows, TABLE, List.of("p"), Duration.ofDays(1), this.executor,
-				new Heard());
+	void continuesAtOnceAfterATruncatedAnswer() throws Exception {
+		TableFollower pausing = new TableFollower(this.table, TABLE, List.of("p"), Duration.ofDays(1), this.executor,
+				new RecordingListener());
 		pausing.start();
-		settle();
-		this.rows.answer("p", new TablePage(List.of(), false, 7));
-		settle();
-		this.rows.change(new TableChanges(List.of(row("p", "first", 8)), 8, true, false));
-		settle();
-		assertThat(this.rows.followedFrom).isEqualTo(8);
-		this.rows.change(new TableChanges(List.of(row("p", "second", 9)), 10, false, false));
-		settle();
-		assertThat(this.heard).containsExactly("first", "second");
-		assertThat(this.rows.followedFrom).as("pauses after an answer that was whole").isEqualTo(8);
+		awaitExecutor();
+		this.table.answer("p", new TablePage(List.of(), false, 7));
+		awaitExecutor();
+		this.table.answerPoll(new TableChanges(List.of(row("p", "first", 8)), 8, true, false));
+		awaitExecutor();
+		assertThat(this.table.followedFrom).isEqualTo(8);
+		this.table.answerPoll(new TableChanges(List.of(row("p", "second", 9)), 10, false, false));
+		awaitExecutor();
+		assertThat(this.receivedKeys).containsExactly("first", "second");
+		assertThat(this.table.followedFrom).as("pauses after a complete answer").isEqualTo(8);
 		pausing.close();
 	}
 
 	/**
-	 * A new owner reads what the former one wrote before it begins. It took one answer
-	 * for all of it, also one that was cut, and would have begun without the rest.
+	 * A new owner reads everything that the former owner wrote before it starts. Guards
+	 * against treating a truncated answer as complete and starting without the remaining
+	 * changes.
 	 */
 	@Test
-	void hasCaughtUpOnlyOnceAnAnswerWasNotCut() throws Exception {
+	void hasCaughtUpOnlyAfterACompleteAnswer() throws Exception {
 		List<String> done = new ArrayList<>();
 		this.follower.start();
-		settle();
-		this.rows.answer("p", new TablePage(List.of(), false, 7));
-		settle();
+		awaitExecutor();
+		this.table.answer("p", new TablePage(List.of(), false, 7));
+		awaitExecutor();
 		this.executor.execute(() -> this.follower.catchUp(() -> done.add("done")));
-		settle();
-		this.rows.change(new TableChanges(List.of(row("p", "first", 8)), 8, true, false));
-		settle();
+		awaitExecutor();
+		this.table.answerPoll(new TableChanges(List.of(row("p", "first", 8)), 8, true, false));
+		awaitExecutor();
 		assertThat(done).isEmpty();
-		this.rows.change(new TableChanges(List.of(row("p", "second", 9)), 10, false, false));
-		settle();
-		assertThat(this.heard).containsExactly("first", "second");
+		this.table.answerPoll(new TableChanges(List.of(row("p", "second", 9)), 10, false, false));
+		awaitExecutor();
+		assertThat(this.receivedKeys).containsExactly("first", "second");
 		assertThat(done).hasSize(1);
 	}
 
 	/**
-	 * The owner writes its row up to fifty times a second, and each host was sent every
-	 * version of it after a pause: 0.4 MB a host, seven tenths of the bytes of all larger
-	 * answers of the feeds.
+	 * Guards against transferring needless history: the owner writes its row up to 50
+	 * times per second, and each host received every version of it after a pause. This
+	 * was 0.4 MB per host, 70 % of the bytes of all larger answers of the feeds.
 	 */
 	@Test
-	void ofTheLatestRowsOnlyPassesOverTheHistoryOfAPause() throws Exception {
-		TableFollower latest = new TableFollower(this.rows, TABLE, List.of("p"), Duration.ZERO, this.executor,
-				new Heard())
+	void skipsTheHistoryOfAPauseIfOnlyTheLatestRowsAreFollowed() throws Exception {
+		TableFollower latest = new TableFollower(this.table, TABLE, List.of("p"), Duration.ZERO, this.executor,
+				new RecordingListener())
 			.latestOnly();
 		latest.start();
-		this.rows.awaitRead();
-		this.rows.answer("p", new TablePage(List.of(), false, 7));
-		settle();
-		this.rows.change(new TableChanges(List.of(row("p", "first", 8)), 8, false, false));
-		this.rows.awaitRead();
-		this.rows.answer("p", new TablePage(List.of(row("p", "ninth", 17)), false, 20));
-		this.rows.awaitRead();
-		this.rows.answer("p", new TablePage(List.of(row("p", "ninth", 17)), false, 21));
-		settle();
-		assertThat(this.heard).containsExactly("first", "ninth");
-		assertThat(this.rows.followedFrom).as("waits for the next change").isEqualTo(20);
+		this.table.awaitRead();
+		this.table.answer("p", new TablePage(List.of(), false, 7));
+		awaitExecutor();
+		this.table.answerPoll(new TableChanges(List.of(row("p", "first", 8)), 8, false, false));
+		this.table.awaitRead();
+		this.table.answer("p", new TablePage(List.of(row("p", "ninth", 17)), false, 20));
+		this.table.awaitRead();
+		this.table.answer("p", new TablePage(List.of(row("p", "ninth", 17)), false, 21));
+		awaitExecutor();
+		assertThat(this.receivedKeys).containsExactly("first", "ninth");
+		assertThat(this.table.followedFrom).as("waits for the next change").isEqualTo(20);
 		latest.close();
 	}
 
-	private final class Heard implements TableFollower.Listener {
+	private final class RecordingListener implements TableFollower.Listener {
 
 		@Override
 		public void snapshot(String partition, List<TableRow> all) {
@@ -156,32 +157,35 @@
 
 		@Override
 		public void changed(List<TableRow> changes) {
-			changes.forEach((row) -> TableFollowerTests.this.heard.add(row.key()));
+			changes.forEach((row) -> TableFollowerTests.this.receivedKeys.add(row.key()));
 		}
 
 	}
 
-	/** Answers reads when told to, and of the questions for changes the latest. */
-	private static final class Rows implements PartitionedTable {
+	/**
+	 * A table that answers reads, and the latest poll for changes, on request of the
+	 * test.
+	 */
+	private static final class ManualTable implements PartitionedTable {
 
-		private final Map<String, CompletableFuture<TablePage>> open = new HashMap<>();
+		private final Map<String, CompletableFuture<TablePage>> pendingReads = new HashMap<>();
 
-		private final Semaphore begun = new Semaphore(0);
+		private final Semaphore startedReads = new Semaphore(0);
 
 		private CompletableFuture<TableChanges> latest = new CompletableFuture<>();
 
 		private long followedFrom = -1;
 
 		synchronized void answer(String partition, TablePage page) {
-			assertThat(this.open).as("reads that wait for an answer").containsKey(partition);
-			this.open.remove(partition).complete(page);
+			assertThat(this.pendingReads).as("reads that wait for an answer").containsKey(partition);
+			this.pendingReads.remove(partition).complete(page);
 		}
 
 		void awaitRead() throws InterruptedException {
-			assertThat(this.begun.tryAcquire(10, TimeUnit.SECONDS)).as("a read has begun").isTrue();
+			assertThat(this.startedReads.tryAcquire(10, TimeUnit.SECONDS)).as("a read has begun").isTrue();
 		}
 
-		synchronized void change(TableChanges changes) {
+		synchronized void answerPoll(TableChanges changes) {
 			this.latest.complete(changes);
 		}
 
@@ -193,8 +197,8 @@
 		@Override
 		public synchronized CompletableFuture<TablePage> read(String table, String partition, String from, int limit) {
 			CompletableFuture<TablePage> answer = new CompletableFuture<>();
-			this.open.put(partition, answer);
-			this.begun.release();
+			this.pendingReads.put(partition, answer);
+			this.startedReads.release();
 			return answer;
 		}
 
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/platform/UnreadableRowsTests.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/platform/UnreadableRowsTests.java
@@ -20,7 +20,7 @@
 	}
 
 	@Test
-	void areToldOnceForEachReasonAndCountedEachTime() {
+	void areLoggedOncePerReasonAndCountedEachTime() {
 		this.rows.report(row("k", ""), "first");
 		this.rows.report(row("k", ""), "first");
 		this.rows.report(row("k", ""), "second");
@@ -32,7 +32,7 @@
 	}
 
 	@Test
-	void areToldAgainOnceTheyCouldBeReadBetween() {
+	void areLoggedAgainAfterTheyWereReadable() {
 		this.rows.report(row("k", ""), "reason");
 		assertThat(this.rows.read(row("k", "[1]"), int[].class)).isPresent();
 		this.rows.report(row("k", ""), "reason");
@@ -40,7 +40,7 @@
 	}
 
 	@Test
-	void areRememberedWithinABoundAndQuotedWithinAnother() {
+	void areRememberedAndQuotedWithinBounds() {
 		for (int i = 0; i < 5000; i++) {
 			this.rows.report(row("k" + i, ""), "x".repeat(100_000));
 		}
@@ -51,7 +51,7 @@
 	}
 
 	@Test
-	void areThoseOfAnotherTypeWithoutAGuess() {
+	void includeValuesOfAnotherTypeWithoutCoercion() {
 		for (String value : List.of("", "null", "\"7\"", "7.5", "7 8", "true", "[7]", "99999999999")) {
 			assertThat(this.rows.read(row("k", value), Integer.class)).as(value).isEmpty();
 		}
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/platform/package-info.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/platform/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Tests of the ports to the platform and of what follows its tables.
+ * Tests of the platform interfaces and of the table follower.
  */
 package org.monsoonrelay.logic.platform;
