--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/control/ActiveControlState.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/control/ActiveControlState.java
@@ -5,16 +5,16 @@
 import org.monsoonrelay.model.workload.CellText;
 
 /**
- * One version of the control state with its text read. Immutable.
+ * A version of the control state with its parsed text. Immutable.
  *
  * @param head the head of the version
  * @param state the state of the version
- * @param text the text in it
+ * @param text the parsed text
  */
 public record ActiveControlState(ControlHead head, ControlState state, CellText text) {
 
 	/**
-	 * Before the first version.
+	 * The state before the first version.
 	 */
 	public static final ActiveControlState NONE = new ActiveControlState(ControlHead.NONE, ControlState.NONE,
 			CellText.EMPTY);
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/control/AuditPage.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/control/AuditPage.java
@@ -5,10 +5,10 @@
 import org.monsoonrelay.model.control.EditRecord;
 
 /**
- * Part of the audit trail. Immutable.
+ * A page of the audit trail. Immutable.
  *
  * @param entries the entries, oldest first
- * @param next after what the next page begins, empty if the trail ends here
+ * @param next position after which the next page starts, empty if this is the last page
  */
 public record AuditPage(List<EditRecord> entries, String next) {
 
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/control/AuditQuery.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/control/AuditQuery.java
@@ -6,13 +6,13 @@
 import org.monsoonrelay.model.control.EditRecord;
 
 /**
- * Which entries of the audit trail to read. Immutable.
+ * Selects entries of the audit trail. Immutable.
  *
- * @param after version, or end of an earlier page, after which to begin; empty for the
- * first
- * @param operator the operator whose edits to read; empty for all
- * @param kind the kind of edits to read; empty for all
- * @param limit the most entries to return
+ * @param after version, or {@link AuditPage#next()} of an earlier page, after which to
+ * start; empty to start at the first entry
+ * @param operator the operator of the edits, empty for all operators
+ * @param kind the kind of the edits, empty for all kinds
+ * @param limit the maximum number of entries to return
  */
 public record AuditQuery(String after, Optional<String> operator, Optional<EditKind> kind, int limit) {
 
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/control/AuditTrail.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/control/AuditTrail.java
@@ -12,14 +12,14 @@
 import org.monsoonrelay.model.control.EditRecord;
 
 /**
- * The audit trail in the platform's table. Invariant: entries are only added, each under
- * a key that must not exist before. Thread-safe; keeps no state of its own.
+ * The audit trail in the platform's table. Invariant: entries are append-only, each
+ * written on condition that its key does not exist. Stateless and thread-safe.
  */
 public final class AuditTrail {
 
-	private static final int SCANNED_ROWS = 500;
+	private static final int ROWS_PER_SCAN = 500;
 
-	private static final int MAXIMUM_SCANS = 20;
+	private static final int MAX_SCANS_PER_PAGE = 20;
 
 	private final TableService table;
 
@@ -28,18 +28,19 @@
 	}
 
 	/**
-	 * The write that adds the entry of an accepted edit.
+	 * Create the write that appends the entry of an accepted edit.
 	 * @param entry the entry
-	 * @return the write, for the edit's own transaction
+	 * @return the write, to be included in the transaction of the edit
 	 */
 	static ConditionalWrite acceptedEntry(EditRecord entry) {
 		return new ConditionalWrite(TableKeys.edit(entry.version()), Json.write(entry), ConditionalWrite.ABSENT);
 	}
 
 	/**
-	 * Add the entry of an edit that was turned down, as far as the table can be reached.
+	 * Append the entry of a rejected edit on a best-effort basis.
 	 * @param entry the entry
-	 * @return completes, never exceptionally, when it is written or cannot be
+	 * @return completes, never exceptionally, when the entry is written or the write
+	 * failed
 	 */
 	CompletableFuture<Void> recordRejected(EditRecord entry) {
 		String key = TableKeys.rejectedEdit(entry.version(), entry.editId());
@@ -49,44 +50,45 @@
 
 	/**
 	 * Read a page.
-	 * @param query which entries
-	 * @return the page; it may hold fewer entries than the limit and still have a next
-	 * one
+	 * @param query selects the entries
+	 * @return the page; it may contain fewer entries than the limit although a next page
+	 * exists
 	 */
 	public CompletableFuture<AuditPage> page(AuditQuery query) {
-		return scan(query, startOf(query.after()), new ArrayList<>(), MAXIMUM_SCANS);
+		return scan(query, startKey(query.after()), new ArrayList<>(), MAX_SCANS_PER_PAGE);
 	}
 
-	private static String startOf(String after) {
-		boolean version = !after.isEmpty() && after.chars().allMatch(Character::isDigit);
-		if (version) {
+	private static String startKey(String after) {
+		boolean isVersion = !after.isEmpty() && after.chars().allMatch(Character::isDigit);
+		if (isVersion) {
 			return TableKeys.edit(Long.parseLong(after));
 		}
 		return after.isEmpty() ? "" : TableKeys.EDITS + after;
 	}
 
-	private CompletableFuture<AuditPage> scan(AuditQuery query, String after, List<EditRecord> found, int scansLeft) {
-		return this.table.scan(TableKeys.EDITS, after, SCANNED_ROWS).thenCompose((rows) -> {
-			String last = after;
+	private CompletableFuture<AuditPage> scan(AuditQuery query, String after, List<EditRecord> matches,
+			int remainingScans) {
+		return this.table.scan(TableKeys.EDITS, after, ROWS_PER_SCAN).thenCompose((rows) -> {
+			String lastKey = after;
 			for (Row row : rows) {
-				if (found.size() == query.limit()) {
-					return page(found, last);
+				if (matches.size() == query.limit()) {
+					return page(matches, lastKey);
 				}
-				last = row.key();
+				lastKey = row.key();
 				EditRecord entry = Json.read(row.value(), EditRecord.class);
 				if (query.matches(entry)) {
-					found.add(entry);
+					matches.add(entry);
 				}
 			}
-			if (rows.size() < SCANNED_ROWS) {
-				return page(found, TableKeys.EDITS);
+			if (rows.size() < ROWS_PER_SCAN) {
+				return page(matches, TableKeys.EDITS);
 			}
-			return (scansLeft > 1) ? scan(query, last, found, scansLeft - 1) : page(found, last);
+			return (remainingScans > 1) ? scan(query, lastKey, matches, remainingScans - 1) : page(matches, lastKey);
 		});
 	}
 
-	private static CompletableFuture<AuditPage> page(List<EditRecord> found, String last) {
-		return CompletableFuture.completedFuture(new AuditPage(found, last.substring(TableKeys.EDITS.length())));
+	private static CompletableFuture<AuditPage> page(List<EditRecord> matches, String lastKey) {
+		return CompletableFuture.completedFuture(new AuditPage(matches, lastKey.substring(TableKeys.EDITS.length())));
 	}
 
 }
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/control/CompressedState.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/control/CompressedState.java
@@ -13,8 +13,8 @@
 import org.monsoonrelay.model.control.ControlState;
 
 /**
- * The form in which a state lies in the object store: compressed, because every process
- * fetches it after each change. Stateless and thread-safe.
+ * Encodes control states for the object store. They are compressed because every process
+ * fetches the state after each change. Stateless and thread-safe.
  */
 final class CompressedState {
 
@@ -23,28 +23,28 @@
 
 	static String compress(ControlState state) {
 		ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-		try (GZIPOutputStream packed = new GZIPOutputStream(bytes)) {
-			packed.write(Json.write(state).getBytes(StandardCharsets.UTF_8));
+		try (GZIPOutputStream gzip = new GZIPOutputStream(bytes)) {
+			gzip.write(Json.write(state).getBytes(StandardCharsets.UTF_8));
 		}
 		catch (IOException ex) {
-			throw new UncheckedIOException("memory cannot be written", ex);
+			throw new UncheckedIOException("cannot compress the control state", ex);
 		}
 		return Base64.getEncoder().encodeToString(bytes.toByteArray());
 	}
 
 	/**
-	 * Read a packed state.
-	 * @param content what {@link #compress} gave
+	 * Decode a compressed state.
+	 * @param content the output of {@link #compress}
 	 * @return the state
-	 * @throws IllegalArgumentException if the content is something else
+	 * @throws IllegalArgumentException if the content is not a compressed state
 	 */
 	static ControlState decompress(String content) {
 		byte[] bytes = Base64.getDecoder().decode(content);
-		try (GZIPInputStream packed = new GZIPInputStream(new ByteArrayInputStream(bytes))) {
-			return Json.read(new String(packed.readAllBytes(), StandardCharsets.UTF_8), ControlState.class);
+		try (GZIPInputStream gzip = new GZIPInputStream(new ByteArrayInputStream(bytes))) {
+			return Json.read(new String(gzip.readAllBytes(), StandardCharsets.UTF_8), ControlState.class);
 		}
 		catch (IOException ex) {
-			throw new IllegalArgumentException("not a packed state", ex);
+			throw new IllegalArgumentException("not a compressed control state", ex);
 		}
 	}
 
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/control/ControlLog.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/control/ControlLog.java
@@ -26,24 +26,25 @@
 import org.monsoonrelay.model.control.EditResult;
 
 /**
- * Accepts operators' edits: the state goes to the object store under its digest, then one
- * transaction writes the head, the entry of the audit trail and a row under the edit's
- * identity. Invariants: the head's row decides between edits that race; an edit takes
- * effect at most once, however often and through however many hosts it is submitted,
- * because the row under its identity must not exist before; nothing is called not made
- * while a write of it may still arrive. Thread-safe; keeps no state of its own.
+ * Accepts operators' edits of the control state. The new state is stored in the object
+ * store under its digest; then one transaction writes the head, the entry of the audit
+ * trail and a row under the edit id. Invariants: concurrent edits are ordered by
+ * conditional writes of the head row; an edit takes effect at most once, however often
+ * and through however many hosts it is submitted, because the row under its edit id must
+ * not exist before; an edit is not reported as without effect while one of its writes may
+ * still take effect. Stateless and thread-safe.
  * <p>
- * A lost answer needs no special reading: the next try reads the head and then the row
- * under the identity. Once the head has moved, an earlier write can no longer land, and
- * if it landed before, that row is there. Objects are named by their content and put
- * again before each commit, so that the store may delete those that no head has named for
- * longer than a try takes.
+ * A lost answer needs no special handling: the next attempt reads the head and then the
+ * row under the edit id. Once the head has changed, an earlier write can no longer take
+ * effect, and if it took effect before, that row exists. Objects are named by their
+ * content and stored again before each commit, so that the store may delete objects that
+ * no head has referenced for longer than an attempt takes.
  */
 public final class ControlLog {
 
-	private static final int MAXIMUM_TRIES = 12;
+	private static final int MAX_ATTEMPTS = 12;
 
-	private static final int MAXIMUM_DOUBTFUL_TRIES = 2;
+	private static final int MAX_ATTEMPTS_AFTER_LOST_ANSWER = 2;
 
 	private static final String OBJECT_PREFIX = "control/";
 
@@ -65,19 +66,19 @@
 	}
 
 	/**
-	 * Submit an edit. Idempotent by the edit's identity.
+	 * Submit an edit. Idempotent by edit id.
 	 * @param edit the edit
-	 * @return what became of it; never fails
+	 * @return the outcome, never failing
 	 */
 	public CompletableFuture<EditOutcome> submit(Edit edit) {
 		if (edit.kind() == EditKind.APPLY) {
 			CheckedText checked = this.parser.parse(edit.text());
 			if (checked.text().isEmpty()) {
-				return head().thenCompose((head) -> refuse(edit, head, checked.faults()))
+				return head().thenCompose((head) -> reject(edit, head, checked.faults()))
 					.exceptionally((failure) -> new EditOutcome.Invalid(checked.faults()));
 			}
 		}
-		return attempt(edit, new Tries(MAXIMUM_TRIES, false));
+		return attempt(edit, new RemainingAttempts(MAX_ATTEMPTS, false));
 	}
 
 	/**
@@ -85,13 +86,14 @@
 	 * @return the head, {@link ControlHead#NONE} before the first edit
 	 */
 	public CompletableFuture<ControlHead> head() {
-		return this.table.read(TableKeys.HEAD).thenApply((row) -> row.map(ControlLog::headOf).orElse(ControlHead.NONE));
+		return this.table.read(TableKeys.HEAD)
+			.thenApply((row) -> row.map(ControlLog::parseHead).orElse(ControlHead.NONE));
 	}
 
 	/**
-	 * Fetch the state that a head names.
+	 * Fetch the state that a head refers to.
 	 * @param head the head
-	 * @return the state
+	 * @return the state; fails with {@link PlatformException} if its object is missing
 	 */
 	public CompletableFuture<ControlState> state(ControlHead head) {
 		if (head.version() == 0) {
@@ -104,44 +106,44 @@
 
 	/**
 	 * Read a page of the audit trail.
-	 * @param query which entries
+	 * @param query selects the entries
 	 * @return the page
 	 */
 	public CompletableFuture<AuditPage> audit(AuditQuery query) {
 		return this.trail.page(query);
 	}
 
-	private CompletableFuture<EditOutcome> attempt(Edit edit, Tries tries) {
+	private CompletableFuture<EditOutcome> attempt(Edit edit, RemainingAttempts attempts) {
 		return this.table.read(TableKeys.HEAD)
 			.thenCompose((head) -> this.table.read(TableKeys.editId(edit.editId()))
-				.thenCompose(
-						(own) -> own.map((row) -> accepted(headOf(row))).orElseGet(() -> decide(edit, tries, head))))
-			.exceptionally((failure) -> notMade(tries, cause(failure).getMessage()));
+				.thenCompose((acceptedRow) -> acceptedRow.map((row) -> accepted(parseHead(row)))
+					.orElseGet(() -> decide(edit, attempts, head))))
+			.exceptionally((failure) -> failureOutcome(attempts, cause(failure).getMessage()));
 	}
 
-	private CompletableFuture<EditOutcome> decide(Edit edit, Tries tries, Optional<Row> row) {
-		ControlHead head = row.map(ControlLog::headOf).orElse(ControlHead.NONE);
+	private CompletableFuture<EditOutcome> decide(Edit edit, RemainingAttempts attempts, Optional<Row> row) {
+		ControlHead head = row.map(ControlLog::parseHead).orElse(ControlHead.NONE);
 		long rowVersion = row.map(Row::version).orElse(ConditionalWrite.ABSENT);
-		return state(head).thenCompose((state) -> decide(edit, tries, new Present(head, rowVersion, state)));
+		return state(head).thenCompose((state) -> decide(edit, attempts, new CurrentState(head, rowVersion, state)));
 	}
 
-	private CompletableFuture<EditOutcome> decide(Edit edit, Tries tries, Present present) {
+	private CompletableFuture<EditOutcome> decide(Edit edit, RemainingAttempts attempts, CurrentState current) {
 		OptionalLong expected = edit.expectedTextVersion();
-		long textVersion = present.state().textVersion();
+		long textVersion = current.state().textVersion();
 		if (expected.isPresent() && expected.getAsLong() != textVersion) {
-			boolean staleRead = expected.getAsLong() > textVersion;
-			return (staleRead && tries.left() > 1) ? attempt(edit, tries.next()) : conflict(edit, present);
+			boolean isStaleRead = expected.getAsLong() > textVersion;
+			return (isStaleRead && attempts.count() > 1) ? attempt(edit, attempts.next()) : conflict(edit, current);
 		}
-		List<TextFault> faults = new TargetCheck(present.state(), this.parser.parseAccepted(present.state().text()))
+		List<TextFault> faults = new TargetCheck(current.state(), this.parser.parseAccepted(current.state().text()))
 			.faults(edit.kind(), edit.targets());
 		if (!faults.isEmpty()) {
-			return refuse(edit, present.head(), faults);
+			return reject(edit, current.head(), faults);
 		}
-		ControlState next = next(edit, present.head().version() + 1, present.state());
-		if (edit.kind() != EditKind.APPLY && next.equals(present.state())) {
-			return accepted(present.head());
+		ControlState next = next(edit, current.head().version() + 1, current.state());
+		if (edit.kind() != EditKind.APPLY && next.equals(current.state())) {
+			return accepted(current.head());
 		}
-		return write(edit, tries, present, next);
+		return write(edit, attempts, current, next);
 	}
 
 	private static ControlState next(Edit edit, long version, ControlState state) {
@@ -153,48 +155,50 @@
 		};
 	}
 
-	private CompletableFuture<EditOutcome> write(Edit edit, Tries tries, Present present, ControlState next) {
+	private CompletableFuture<EditOutcome> write(Edit edit, RemainingAttempts attempts, CurrentState current,
+			ControlState next) {
 		String content = CompressedState.compress(next);
-		ControlHead head = new ControlHead(present.head().version() + 1, Digest.of(content), edit.editId());
+		ControlHead head = new ControlHead(current.head().version() + 1, Digest.of(content), edit.editId());
 		List<ConditionalWrite> writes = List.of(
-				new ConditionalWrite(TableKeys.HEAD, Json.write(head), present.rowVersion()),
+				new ConditionalWrite(TableKeys.HEAD, Json.write(head), current.rowVersion()),
 				AuditTrail.acceptedEntry(entry(edit, head, EditResult.ACCEPTED)),
 				new ConditionalWrite(TableKeys.editId(edit.editId()), Json.write(head), ConditionalWrite.ABSENT));
 		return this.objects.put(OBJECT_PREFIX + head.stateDigest(), content)
 			.thenCompose((stored) -> this.table.commit(writes)
-				.handle((result, failure) -> settle(edit, tries, head, result, failure))
+				.handle((result, failure) -> handleCommitResult(edit, attempts, head, result, failure))
 				.thenCompose((outcome) -> outcome));
 	}
 
-	private CompletableFuture<EditOutcome> settle(Edit edit, Tries tries, ControlHead head, CommitResult result,
-			Throwable failure) {
+	private CompletableFuture<EditOutcome> handleCommitResult(Edit edit, RemainingAttempts attempts, ControlHead head,
+			CommitResult result, Throwable failure) {
 		if (result instanceof CommitResult.Committed) {
 			return accepted(head);
 		}
 		if (result != null) {
-			return (tries.left() > 1) ? attempt(edit, tries.next())
-					: CompletableFuture.completedFuture(notMade(tries, "other edits kept coming first"));
+			return (attempts.count() > 1) ? attempt(edit, attempts.next()) : CompletableFuture
+				.completedFuture(failureOutcome(attempts, "other edits were accepted first on every attempt"));
 		}
-		boolean certain = cause(failure) instanceof PlatformException platform && !platform.mayHaveTakenEffect();
-		Tries doubtful = certain ? tries : tries.inDoubt();
-		return (!certain && doubtful.left() > 0) ? attempt(edit, doubtful)
-				: CompletableFuture.completedFuture(notMade(doubtful, cause(failure).getMessage()));
+		boolean knownNotApplied = cause(failure) instanceof PlatformException platform
+				&& !platform.mayHaveTakenEffect();
+		RemainingAttempts remaining = knownNotApplied ? attempts : attempts.afterLostAnswer();
+		return (!knownNotApplied && remaining.count() > 0) ? attempt(edit, remaining)
+				: CompletableFuture.completedFuture(failureOutcome(remaining, cause(failure).getMessage()));
 	}
 
-	private CompletableFuture<EditOutcome> conflict(Edit edit, Present present) {
-		long textVersion = present.state().textVersion();
+	private CompletableFuture<EditOutcome> conflict(Edit edit, CurrentState current) {
+		long textVersion = current.state().textVersion();
 		return this.table.read(TableKeys.edit(textVersion)).thenCompose((row) -> {
 			if (row.isEmpty()) {
 				return CompletableFuture
 					.completedFuture(new EditOutcome.Unavailable("no text of the expected version is in force"));
 			}
 			EditRecord winner = Json.read(row.get().value(), EditRecord.class);
-			return this.trail.recordRejected(entry(edit, present.head(), EditResult.CONFLICT))
+			return this.trail.recordRejected(entry(edit, current.head(), EditResult.CONFLICT))
 				.thenApply((done) -> new EditOutcome.Conflict(winner));
 		});
 	}
 
-	private CompletableFuture<EditOutcome> refuse(Edit edit, ControlHead head, List<TextFault> faults) {
+	private CompletableFuture<EditOutcome> reject(Edit edit, ControlHead head, List<TextFault> faults) {
 		return this.trail.recordRejected(entry(edit, head, EditResult.REFUSED))
 			.thenApply((done) -> new EditOutcome.Invalid(faults));
 	}
@@ -208,9 +212,9 @@
 		return CompletableFuture.completedFuture(new EditOutcome.Accepted(head.version()));
 	}
 
-	private static EditOutcome notMade(Tries tries, String reason) {
-		return tries.doubt()
-				? new EditOutcome.Unsettled("an answer was lost and the table cannot be read back: " + reason)
+	private static EditOutcome failureOutcome(RemainingAttempts attempts, String reason) {
+		return attempts.outcomeUnknown()
+				? new EditOutcome.Unsettled("an answer was lost and the outcome cannot be read back: " + reason)
 				: new EditOutcome.Unavailable("nothing was changed: " + reason);
 	}
 
@@ -218,29 +222,29 @@
 		return (failure.getCause() != null) ? failure.getCause() : failure;
 	}
 
-	private static ControlHead headOf(Row row) {
+	private static ControlHead parseHead(Row row) {
 		return Json.read(row.value(), ControlHead.class);
 	}
 
 	/**
-	 * What an edit is decided against.
+	 * The control state that an edit is checked against.
 	 */
-	private record Present(ControlHead head, long rowVersion, ControlState state) {
+	private record CurrentState(ControlHead head, long rowVersion, ControlState state) {
 
 	}
 
 	/**
-	 * How often an edit may be tried yet, and whether an earlier write of it may still
-	 * take effect.
+	 * The number of remaining attempts of an edit, and whether the outcome of an earlier
+	 * write of it is unknown.
 	 */
-	private record Tries(int left, boolean doubt) {
+	private record RemainingAttempts(int count, boolean outcomeUnknown) {
 
-		Tries next() {
-			return new Tries(this.left - 1, this.doubt);
+		RemainingAttempts next() {
+			return new RemainingAttempts(this.count - 1, this.outcomeUnknown);
 		}
 
-		Tries inDoubt() {
-			return new Tries(this.doubt ? this.left - 1 : MAXIMUM_DOUBTFUL_TRIES, true);
+		RemainingAttempts afterLostAnswer() {
+			return new RemainingAttempts(this.outcomeUnknown ? this.count - 1 : MAX_ATTEMPTS_AFTER_LOST_ANSWER, true);
 		}
 
 	}
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/control/ControlTracker.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/control/ControlTracker.java
@@ -8,9 +8,9 @@
 import org.monsoonrelay.model.control.ControlState;
 
 /**
- * The version in force in this process. Invariant: the version never goes down, whatever
- * the order in which the platform's and the peers' words arrive. Thread-safe: reads are
- * lock-free, changes are serialized.
+ * Holds the active control state of this process. Invariant: the version never decreases,
+ * in whatever order the responses of the platform and of peers arrive. Thread-safe: reads
+ * are lock-free, changes are serialized.
  */
 public final class ControlTracker {
 
@@ -21,10 +21,10 @@
 	private volatile ActiveControlState active = ActiveControlState.NONE;
 
 	/**
-	 * Put a version in force unless the present one is at least as high.
+	 * Activate a version unless the active one is at least as high.
 	 * @param head the head of that version
 	 * @param state the state of that version
-	 * @return {@code true} if it came into force now
+	 * @return {@code true} if this call activated the version
 	 */
 	public synchronized boolean offer(ControlHead head, ControlState state) {
 		if (head.version() <= this.active.head().version()) {
@@ -37,7 +37,7 @@
 	}
 
 	/**
-	 * What is in force now.
+	 * The active control state.
 	 * @return the highest version offered so far
 	 */
 	public ActiveControlState activeState() {
@@ -45,7 +45,8 @@
 	}
 
 	/**
-	 * Be told of each new version, on the thread that offers it.
+	 * Register a listener for newly activated versions. It is called on the thread that
+	 * offers the version.
 	 * @param listener the listener
 	 */
 	public void onChange(Consumer<ActiveControlState> listener) {
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/control/ControlVersion.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/control/ControlVersion.java
@@ -4,7 +4,7 @@
 import org.monsoonrelay.model.control.ControlState;
 
 /**
- * One version with its state, as a peer tells it. Immutable.
+ * A version of the control state as sent by a peer. Immutable.
  *
  * @param head the head of the version
  * @param state the state of the version
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/control/Digest.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/control/Digest.java
@@ -6,7 +6,7 @@
 import java.util.HexFormat;
 
 /**
- * Names objects after their content.
+ * Computes digests that name objects by their content. Stateless and thread-safe.
  */
 public final class Digest {
 
@@ -14,9 +14,9 @@
 	}
 
 	/**
-	 * SHA-256 of a text.
+	 * Compute the SHA-256 digest of a text in UTF-8.
 	 * @param text the text
-	 * @return the digest in hexadecimal
+	 * @return the digest in lower-case hexadecimal
 	 */
 	public static String of(String text) {
 		try {
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/control/EditOutcome.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/control/EditOutcome.java
@@ -6,32 +6,32 @@
 import org.monsoonrelay.model.control.EditRecord;
 
 /**
- * What became of an operator's edit. Immutable.
+ * Outcome of an operator's edit. Immutable.
  */
 public sealed interface EditOutcome {
 
 	/**
-	 * The edit is accepted and lasts.
+	 * The edit is accepted and durable.
 	 *
-	 * @param version the version it made, or that stood already where it changed nothing
+	 * @param version the version it created, or the current version if it changed nothing
 	 */
 	record Accepted(long version) implements EditOutcome {
 
 	}
 
 	/**
-	 * Another edit came first; nothing was changed.
+	 * Another edit was accepted first; nothing was changed.
 	 *
-	 * @param winner the edit that came first
+	 * @param winner the edit that was accepted first
 	 */
 	record Conflict(EditRecord winner) implements EditOutcome {
 
 	}
 
 	/**
-	 * The text has faults; nothing was changed.
+	 * The text or the targets of the edit are invalid; nothing was changed.
 	 *
-	 * @param faults all faults
+	 * @param faults all faults found
 	 */
 	record Invalid(List<TextFault> faults) implements EditOutcome {
 
@@ -40,16 +40,17 @@
 	/**
 	 * The platform did not answer and nothing was changed.
 	 *
-	 * @param detail what is known
+	 * @param detail the cause, for the operator
 	 */
 	record Unavailable(String detail) implements EditOutcome {
 
 	}
 
 	/**
-	 * The platform's answer was lost and could not be settled: the edit may be in force.
+	 * The platform's answer was lost and the outcome could not be determined: the edit
+	 * may be in force.
 	 *
-	 * @param detail what is known
+	 * @param detail the cause, for the operator
 	 */
 	record Unsettled(String detail) implements EditOutcome {
 
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/control/TargetCheck.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/control/TargetCheck.java
@@ -12,8 +12,8 @@
 import org.monsoonrelay.model.workload.WorkloadKind;
 
 /**
- * Checks that what an operator stops or cancels is known. A target that is stopped or
- * cancelled already is known, so that repeats are idempotent. Not thread-safe; one
+ * Checks that the targets of a stop or cancellation exist. A target that is already
+ * stopped or cancelled is valid, so that retries are idempotent. Not thread-safe; one
  * instance checks one edit.
  */
 final class TargetCheck {
@@ -32,26 +32,26 @@
 		for (int index = 0; index < targets.size(); index++) {
 			String pointer = "/targets/" + index;
 			String target = targets.get(index);
-			reason(kind, target).ifPresent((reason) -> faults.add(new TextFault(pointer, reason)));
+			fault(kind, target).ifPresent((reason) -> faults.add(new TextFault(pointer, reason)));
 		}
 		return faults;
 	}
 
-	private Optional<String> reason(EditKind kind, String target) {
+	private Optional<String> fault(EditKind kind, String target) {
 		return switch (kind) {
 			case APPLY -> Optional.empty();
-			case STOP -> stopReason(target);
-			case CANCEL -> cancelReason(target);
+			case STOP -> stopFault(target);
+			case CANCEL -> cancelFault(target);
 		};
 	}
 
-	private Optional<String> stopReason(String name) {
+	private Optional<String> stopFault(String name) {
 		boolean known = this.state.stopped().contains(name)
 				|| this.declared.stream().anyMatch((workload) -> workload.id().name().equals(name));
 		return known ? Optional.empty() : undeclared(name);
 	}
 
-	private Optional<String> cancelReason(String target) {
+	private Optional<String> cancelFault(String target) {
 		if (this.state.cancelled().contains(target)) {
 			return Optional.empty();
 		}
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/control/VersionFollower.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/control/VersionFollower.java
@@ -7,9 +7,9 @@
 import org.monsoonrelay.model.control.ControlHead;
 
 /**
- * Keeps a process's version in force up to date, from the platform and, where that cannot
- * be reached, from peers. Invariants: at most one reading of the platform and one of a
- * peer are in flight; whatever way one ends, the next may begin. Thread-safe.
+ * Keeps the active control state of a process up to date, from the platform or, if that
+ * is unreachable, from peers. Invariant: at most one read from the platform and one from
+ * a peer are in flight, and a failed read does not prevent the next one. Thread-safe.
  */
 public final class VersionFollower {
 
@@ -19,9 +19,9 @@
 
 	private final ControlTracker tracker;
 
-	private final AtomicBoolean polling = new AtomicBoolean();
+	private final AtomicBoolean pollInFlight = new AtomicBoolean();
 
-	private final AtomicBoolean fetching = new AtomicBoolean();
+	private final AtomicBoolean fetchInFlight = new AtomicBoolean();
 
 	public VersionFollower(ControlLog log, ControlTracker tracker) {
 		this.log = log;
@@ -29,15 +29,16 @@
 	}
 
 	/**
-	 * Ask the platform for the head, unless an answer is awaited already.
-	 * @return completes, never exceptionally, when the version is in force or cannot be
-	 * had
+	 * Read the head from the platform unless a read is already in flight.
+	 * @return completes, never exceptionally, when the version is active or the read
+	 * failed
 	 */
 	public CompletableFuture<Void> poll() {
-		return once(this.polling, () -> this.log.head().thenCompose(this::follow), "the control head cannot be read");
+		return runExclusively(this.pollInFlight, () -> this.log.head().thenCompose(this::activate),
+				"failed to read the control head");
 	}
 
-	private CompletableFuture<Void> follow(ControlHead head) {
+	private CompletableFuture<Void> activate(ControlHead head) {
 		if (!isHigher(head.version())) {
 			return CompletableFuture.completedFuture(null);
 		}
@@ -45,34 +46,34 @@
 	}
 
 	/**
-	 * A peer has announced its version; fetch it if it is higher.
-	 * @param version the peer's version
-	 * @param fetch asks the peer for it
-	 * @return completes, never exceptionally, when the version is in force or cannot be
-	 * had
+	 * Handle a version announced by a peer: fetch it if it is higher than the active one.
+	 * @param version the version of the peer
+	 * @param fetch fetches the version from the peer
+	 * @return completes, never exceptionally, when the version is active or the fetch
+	 * failed
 	 */
 	public CompletableFuture<Void> handleAnnouncement(long version, Supplier<CompletableFuture<ControlVersion>> fetch) {
 		if (!isHigher(version)) {
 			return CompletableFuture.completedFuture(null);
 		}
-		return once(this.fetching,
+		return runExclusively(this.fetchInFlight,
 				() -> fetch.get().thenAccept((fetched) -> this.tracker.offer(fetched.head(), fetched.state())),
-				"a peer's version cannot be had");
+				"failed to fetch the control version from a peer");
 	}
 
 	private boolean isHigher(long version) {
 		return version > this.tracker.activeState().head().version();
 	}
 
-	private static CompletableFuture<Void> once(AtomicBoolean busy, Supplier<CompletableFuture<Void>> reading,
-			String failed) {
-		if (!busy.compareAndSet(false, true)) {
+	private static CompletableFuture<Void> runExclusively(AtomicBoolean inFlight,
+			Supplier<CompletableFuture<Void>> read, String failureMessage) {
+		if (!inFlight.compareAndSet(false, true)) {
 			return CompletableFuture.completedFuture(null);
 		}
-		return CompletableFuture.completedFuture(null).thenCompose((start) -> reading.get()).handle((done, failure) -> {
-			busy.set(false);
+		return CompletableFuture.completedFuture(null).thenCompose((start) -> read.get()).handle((done, failure) -> {
+			inFlight.set(false);
 			if (failure != null) {
-				LOGGER.log(System.Logger.Level.DEBUG, failed, failure);
+				LOGGER.log(System.Logger.Level.DEBUG, failureMessage, failure);
 			}
 			return null;
 		});
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/control/package-info.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/control/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Accepting edits of the control state and following the version in force.
+ * Accepts edits of the control state and follows its active version.
  */
 package org.monsoonrelay.logic.control;
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/membership/OwnershipKeeper.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/membership/OwnershipKeeper.java
@@ -25,22 +25,23 @@
 import org.monsoonrelay.model.membership.SessionRecord;
 
 /**
- * Keeps this instance's session and takes over what has no live owner. Invariants: an
- * ownership is used only after its conditional write took effect or was read back; the
- * epoch grows with each change of owner and comes from the table alone; rows of ended
- * sessions are used again, so that their number follows the instances and not their
- * restarts. The owners' rows are read when sessions come or go, when a claim is not
- * settled, and now and then. Not thread-safe: confined to the control thread.
+ * Renews this instance's session and takes over racks and queues without a live owner.
+ * Invariants: an ownership is used only after its conditional write took effect or was
+ * read back; the epoch increases with each change of owner and is taken from the table
+ * only; rows of ended sessions are reused, so that their number depends on the number of
+ * instances and not on their restarts. The ownership rows are read when sessions start or
+ * end, when the outcome of a claim is unknown, and periodically. Not thread-safe:
+ * confined to the control thread.
  */
 public final class OwnershipKeeper {
 
 	private static final System.Logger LOGGER = System.getLogger(OwnershipKeeper.class.getName());
 
-	private static final int MAXIMUM_ROWS = 10_000;
+	private static final int MAX_ROWS = 10_000;
 
-	private static final int MAXIMUM_CLAIMS = 64;
+	private static final int MAX_CLAIMS_PER_TRANSACTION = 64;
 
-	private static final int ROUNDS_BETWEEN_READINGS = 30;
+	private static final int ROUNDS_BETWEEN_OWNER_READS = 30;
 
 	private final SessionRecord self;
 
@@ -52,15 +53,15 @@
 
 	private final Listener listener;
 
-	private final SessionLivenessTracker watch;
+	private final SessionLivenessTracker liveness;
 
 	private Set<String> knownLive = Set.of();
 
 	private Set<String> knownWanted = Set.of();
 
-	private int roundsToReading;
+	private int roundsUntilOwnerRead;
 
-	private boolean busy;
+	private boolean inProgress;
 
 	private boolean stopping;
 
@@ -71,46 +72,47 @@
 		this.control = control;
 		this.monotonicNanos = monotonicNanos;
 		this.listener = listener;
-		this.watch = new SessionLivenessTracker(expiry);
+		this.liveness = new SessionLivenessTracker(expiry);
 	}
 
 	/**
-	 * One round: read who is alive, renew the session, take over what has no live owner.
-	 * @param wanted what has to be owned, by key of its row, with its failure domain
+	 * Run one round: read the live sessions, renew the own session, and claim what has no
+	 * live owner. Does nothing while an earlier round is in progress.
+	 * @param wanted failure domains of what has to be owned, by key of the ownership row
 	 */
 	public void runRound(Map<String, String> wanted) {
-		if (this.busy || this.stopping) {
+		if (this.inProgress || this.stopping) {
 			return;
 		}
-		this.busy = true;
-		this.table.scan(TableKeys.SESSIONS, "", MAXIMUM_ROWS).whenCompleteAsync((sessions, failure) -> {
-			this.busy = false;
+		this.inProgress = true;
+		this.table.scan(TableKeys.SESSIONS, "", MAX_ROWS).whenCompleteAsync((sessions, failure) -> {
+			this.inProgress = false;
 			if (failure == null && !this.stopping) {
-				take(sessions, wanted);
+				applySessions(sessions, wanted);
 			}
 		}, this.control);
 	}
 
-	private void take(List<Row> sessions, Map<String, String> wanted) {
+	private void applySessions(List<Row> sessions, Map<String, String> wanted) {
 		long now = this.monotonicNanos.getAsLong();
 		Map<Row, SessionRecord> records = sessions.stream()
 			.collect(Collectors.toMap((row) -> row, (row) -> Json.read(row.value(), SessionRecord.class)));
-		this.watch.retain(records.values().stream().map(SessionRecord::session).collect(Collectors.toSet()));
-		records.forEach((row, record) -> this.watch.observe(record, row.version(), now));
+		this.liveness.retain(records.values().stream().map(SessionRecord::session).collect(Collectors.toSet()));
+		records.forEach((row, record) -> this.liveness.observe(record, row.version(), now));
 		renew(records);
 		List<SessionRecord> live = live();
-		records.forEach((row, record) -> endLapsed(row, record, live));
-		if (isReadingDue(live, wanted.keySet())) {
-			readOwners(wanted, live);
+		records.forEach((row, record) -> endIfExpired(row, record, live));
+		if (isOwnerReadDue(live, wanted.keySet())) {
+			readOwnersAndClaim(wanted, live);
 		}
 	}
 
 	private List<SessionRecord> live() {
-		return this.watch.live(this.monotonicNanos.getAsLong());
+		return this.liveness.live(this.monotonicNanos.getAsLong());
 	}
 
 	/**
-	 * Number of instances that are alive, this one included.
+	 * Number of live instances, including this one.
 	 * @return the count, at least 1
 	 */
 	public int liveCount() {
@@ -133,29 +135,29 @@
 			.min(Comparator.comparing(Row::key));
 	}
 
-	private void endLapsed(Row row, SessionRecord record, List<SessionRecord> live) {
-		boolean lapsed = !record.hasEnded() && live.stream().noneMatch((session) -> session.equals(record));
-		boolean mine = OwnershipPlan.successor(row.key(), "", Ownership.NONE, live)
+	private void endIfExpired(Row row, SessionRecord record, List<SessionRecord> live) {
+		boolean hasExpired = !record.hasEnded() && live.stream().noneMatch((session) -> session.equals(record));
+		boolean isSuccessor = OwnershipPlan.successor(row.key(), "", Ownership.NONE, live)
 			.filter(this.self::equals)
 			.isPresent();
-		if (lapsed && mine) {
+		if (hasExpired && isSuccessor) {
 			this.table.commit(List.of(new ConditionalWrite(row.key(), Json.write(record.asEnded()), row.version())));
 		}
 	}
 
-	private boolean isReadingDue(List<SessionRecord> live, Set<String> wanted) {
+	private boolean isOwnerReadDue(List<SessionRecord> live, Set<String> wanted) {
 		Set<String> sessions = live.stream().map(SessionRecord::session).collect(Collectors.toSet());
 		boolean changed = !sessions.equals(this.knownLive) || !wanted.equals(this.knownWanted);
 		this.knownLive = sessions;
 		this.knownWanted = Set.copyOf(wanted);
-		this.roundsToReading--;
-		return changed || this.roundsToReading < 0;
+		this.roundsUntilOwnerRead--;
+		return changed || this.roundsUntilOwnerRead < 0;
 	}
 
-	private void readOwners(Map<String, String> wanted, List<SessionRecord> live) {
-		this.roundsToReading = 0;
-		this.table.scan(TableKeys.OWNERS, "", MAXIMUM_ROWS).thenAcceptAsync((rows) -> {
-			this.roundsToReading = ROUNDS_BETWEEN_READINGS;
+	private void readOwnersAndClaim(Map<String, String> wanted, List<SessionRecord> live) {
+		this.roundsUntilOwnerRead = 0;
+		this.table.scan(TableKeys.OWNERS, "", MAX_ROWS).thenAcceptAsync((rows) -> {
+			this.roundsUntilOwnerRead = ROUNDS_BETWEEN_OWNER_READS;
 			claim(claims(rows, wanted, live));
 		}, this.control);
 	}
@@ -177,8 +179,8 @@
 	}
 
 	private void claim(List<Claim> claims) {
-		for (int from = 0; from < claims.size(); from += MAXIMUM_CLAIMS) {
-			List<Claim> batch = claims.subList(from, Math.min(claims.size(), from + MAXIMUM_CLAIMS));
+		for (int from = 0; from < claims.size(); from += MAX_CLAIMS_PER_TRANSACTION) {
+			List<Claim> batch = claims.subList(from, Math.min(claims.size(), from + MAX_CLAIMS_PER_TRANSACTION));
 			List<ConditionalWrite> writes = batch.stream()
 				.map((claim) -> new ConditionalWrite(claim.key(), Json.write(claim.next()), claim.version()))
 				.toList();
@@ -188,19 +190,20 @@
 					LOGGER.log(System.Logger.Level.INFO, "took over {0} ownerships", batch.size());
 				}
 				else {
-					this.roundsToReading = 0;
+					this.roundsUntilOwnerRead = 0;
 				}
 			}, this.control);
 		}
 	}
 
 	/**
-	 * Give up the session, so that others take over at once.
-	 * @return completes when it is given up, or cannot be
+	 * End the session, so that other instances take over at once.
+	 * @return completes, never exceptionally, when the session has ended or the attempt
+	 * failed
 	 */
 	public CompletableFuture<Void> release() {
 		this.stopping = true;
-		return this.table.scan(TableKeys.SESSIONS, "", MAXIMUM_ROWS)
+		return this.table.scan(TableKeys.SESSIONS, "", MAX_ROWS)
 			.thenCompose((rows) -> this.table.commit(rows.stream()
 				.filter((row) -> Json.read(row.value(), SessionRecord.class).equals(this.self))
 				.map((row) -> new ConditionalWrite(row.key(), Json.write(this.self.asEnded()), row.version()))
@@ -209,15 +212,15 @@
 	}
 
 	/**
-	 * Told of who owns what.
+	 * Notified of ownerships, on the control thread.
 	 */
 	public interface Listener {
 
 		/**
 		 * An ownership was read or written.
-		 * @param key key of the row
+		 * @param key key of the ownership row
 		 * @param ownership the ownership
-		 * @param own whether it is this instance's
+		 * @param own whether it belongs to this instance
 		 */
 		void onOwnership(String key, Ownership ownership, boolean own);
 
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/membership/OwnershipPlan.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/membership/OwnershipPlan.java
@@ -9,9 +9,9 @@
 import org.monsoonrelay.model.membership.SessionRecord;
 
 /**
- * Decides which session should own something. All sessions that see the same live
- * sessions come to the same answer, so that they do not race; a wrong view costs one lost
- * conditional write, never two owners. Stateless and thread-safe.
+ * Selects the session that should own a rack or a queue. All instances that see the same
+ * live sessions select the same one, so that they do not race; an outdated view costs one
+ * failed conditional write and never results in two owners. Stateless and thread-safe.
  */
 public final class OwnershipPlan {
 
@@ -19,25 +19,26 @@
 	}
 
 	/**
-	 * The session that should take something over.
-	 * @param name what is owned
-	 * @param failureDomain the failure domain it stands in, empty if it stands in none
-	 * @param present the present ownership
+	 * Select the session that should take over. Sessions in the failure domain of the
+	 * owned item are preferred, so its ownership returns to that domain as soon as a
+	 * session there is alive.
+	 * @param name the name of the rack or queue
+	 * @param failureDomain its failure domain, empty if it has none
+	 * @param current the current ownership
 	 * @param live the live sessions
-	 * @return the session, or empty if the present owner is alive and stands near enough,
-	 * or if nobody is alive; what stands in a failure domain goes back to that domain as
-	 * soon as a session is alive there
+	 * @return the session, empty if the current owner is alive and preferred, or if no
+	 * session is alive
 	 */
-	public static Optional<SessionRecord> successor(String name, String failureDomain, Ownership present,
+	public static Optional<SessionRecord> successor(String name, String failureDomain, Ownership current,
 			List<SessionRecord> live) {
-		List<SessionRecord> near = live.stream()
+		List<SessionRecord> inDomain = live.stream()
 			.filter((session) -> failureDomain.isEmpty() || session.failureDomain().equals(failureDomain))
 			.toList();
-		List<SessionRecord> able = near.isEmpty() ? live : near;
-		if (able.stream().anyMatch((session) -> session.session().equals(present.session()))) {
+		List<SessionRecord> candidates = inDomain.isEmpty() ? live : inDomain;
+		if (candidates.stream().anyMatch((session) -> session.session().equals(current.session()))) {
 			return Optional.empty();
 		}
-		return able.stream().max(Comparator.comparing((session) -> Digest.of(name + ' ' + session.session())));
+		return candidates.stream().max(Comparator.comparing((session) -> Digest.of(name + ' ' + session.session())));
 	}
 
 }
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/membership/SessionLivenessTracker.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/membership/SessionLivenessTracker.java
@@ -10,68 +10,69 @@
 import org.monsoonrelay.model.membership.SessionRecord;
 
 /**
- * Tells live sessions from lapsed ones. A session has lapsed when the version of its row
- * has stayed the same for the lapse time, on this process's monotonic clock, and over
- * several readings: a store that is slow or down, or a process that was frozen, reads
- * seldom, and the others then cannot be seen to renew. No wall clock is read. A session
- * seen for the first time counts as alive. Not thread-safe: confined to the control
- * thread.
+ * Tracks which sessions are live and which have expired. A session has expired if the
+ * version of its row has not changed for the expiry time, on this process's monotonic
+ * clock, and over several reads. The number of reads matters because renewals go
+ * unnoticed while the store is slow or down or this process is frozen. No wall clock is
+ * used. A session counts as live when it is first seen. Not thread-safe: confined to the
+ * control thread.
  */
 public final class SessionLivenessTracker {
 
-	private static final int MINIMUM_READINGS = 5;
+	private static final int MIN_UNCHANGED_READS = 5;
 
 	private final long expiryNanos;
 
-	private final Map<String, Seen> seen = new HashMap<>();
+	private final Map<String, TrackedSession> trackedSessions = new HashMap<>();
 
 	public SessionLivenessTracker(Duration expiry) {
 		this.expiryNanos = expiry.toNanos();
 	}
 
 	/**
-	 * Take in a reading of a session's row.
+	 * Record a read of a session's row.
 	 * @param record the row's value
 	 * @param version the row's version
-	 * @param nowNanos monotonic time of the reading
+	 * @param nowNanos monotonic time of the read, nanoseconds
 	 */
 	public void observe(SessionRecord record, long version, long nowNanos) {
-		Seen before = this.seen.get(record.session());
-		if (before == null || before.version != version) {
-			this.seen.put(record.session(), new Seen(record, version, nowNanos, 0));
+		TrackedSession previous = this.trackedSessions.get(record.session());
+		if (previous == null || previous.version != version) {
+			this.trackedSessions.put(record.session(), new TrackedSession(record, version, nowNanos, 0));
 		}
 		else {
-			this.seen.put(record.session(), new Seen(record, version, before.changedNanos, before.unchanged + 1));
+			this.trackedSessions.put(record.session(),
+					new TrackedSession(record, version, previous.changedNanos, previous.unchangedReads + 1));
 		}
 	}
 
 	/**
 	 * The live sessions.
-	 * @param nowNanos monotonic time
-	 * @return their records, by session
+	 * @param nowNanos the current monotonic time, nanoseconds
+	 * @return their records, ordered by session
 	 */
 	public List<SessionRecord> live(long nowNanos) {
-		return this.seen.values()
+		return this.trackedSessions.values()
 			.stream()
 			.filter((entry) -> !entry.record.hasEnded() && !hasExpired(entry, nowNanos))
-			.map(Seen::record)
+			.map(TrackedSession::record)
 			.sorted(Comparator.comparing(SessionRecord::session))
 			.toList();
 	}
 
-	private boolean hasExpired(Seen entry, long nowNanos) {
-		return entry.unchanged >= MINIMUM_READINGS && nowNanos - entry.changedNanos >= this.expiryNanos;
+	private boolean hasExpired(TrackedSession entry, long nowNanos) {
+		return entry.unchangedReads >= MIN_UNCHANGED_READS && nowNanos - entry.changedNanos >= this.expiryNanos;
 	}
 
 	/**
-	 * Forget sessions whose rows are gone.
-	 * @param present the sessions that have rows
+	 * Remove sessions whose rows no longer exist.
+	 * @param existing the sessions that have rows
 	 */
-	public void retain(Set<String> present) {
-		this.seen.keySet().retainAll(present);
+	public void retain(Set<String> existing) {
+		this.trackedSessions.keySet().retainAll(existing);
 	}
 
-	private record Seen(SessionRecord record, long version, long changedNanos, int unchanged) {
+	private record TrackedSession(SessionRecord record, long version, long changedNanos, int unchangedReads) {
 
 	}
 
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/membership/package-info.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/membership/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Telling live sessions from lapsed ones and planning who owns what.
+ * Session liveness and assignment of racks and queues to live sessions.
  */
 package org.monsoonrelay.logic.membership;
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/text/CellTextParser.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/text/CellTextParser.java
@@ -9,16 +9,16 @@
 import org.monsoonrelay.model.workload.CellText;
 
 /**
- * Reads an operators' text and names every fault in it. Thread-safe.
+ * Parses the operators' text and reports all faults in it. Thread-safe.
  */
 public final class CellTextParser {
 
 	private static final SchemaCheck SCHEMA = new SchemaCheck(CellTextParser.class, "cell-text.schema.json");
 
 	/**
-	 * Check a text against the schema and its references.
+	 * Check a text against the schema and check its references.
 	 * @param document the text
-	 * @return the text or its faults
+	 * @return the parsed text or its faults
 	 */
 	public CheckedText parse(String document) {
 		List<TextFault> faults = new ArrayList<>(SCHEMA.check(document));
@@ -36,7 +36,7 @@
 	}
 
 	/**
-	 * Read a text that was accepted before.
+	 * Parse a text that was accepted before.
 	 * @param document the text
 	 * @return the text
 	 */
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/text/CheckedText.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/text/CheckedText.java
@@ -6,10 +6,11 @@
 import org.monsoonrelay.model.workload.CellText;
 
 /**
- * Result of checking an operators' text: the text, or all its faults at once. Immutable.
+ * Result of checking the operators' text: the parsed text or all of its faults.
+ * Immutable.
  *
- * @param text the text, present if there is no fault
- * @param faults the faults in the order of the document
+ * @param text the parsed text, present if there is no fault
+ * @param faults the faults, those of the schema first
  */
 public record CheckedText(Optional<CellText> text, List<TextFault> faults) {
 
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/text/CycleCheck.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/text/CycleCheck.java
@@ -11,14 +11,14 @@
 import java.util.stream.Collectors;
 
 /**
- * Finds cycles of dependencies, depth first and without recursion, in time that grows
- * with the dependencies. Not thread-safe; one instance checks one text.
+ * Finds dependency cycles by an iterative depth-first search, in time linear in the
+ * number of dependencies. Not thread-safe; one instance checks one text.
  */
 final class CycleCheck {
 
 	private final Map<String, List<String>> dependencies;
 
-	private final Set<String> done = new HashSet<>();
+	private final Set<String> visited = new HashSet<>();
 
 	private final Deque<Visit> path = new ArrayDeque<>();
 
@@ -29,20 +29,20 @@
 	}
 
 	/**
-	 * Name each dependency that closes a cycle.
-	 * @param found called with the dependency and the way round
+	 * Report each dependency that closes a cycle.
+	 * @param found called with the dependency and the names on the cycle
 	 */
 	void forEach(BiConsumer<Dependency, String> found) {
 		this.dependencies.keySet().forEach((name) -> {
-			enter(name);
+			push(name);
 			while (!this.path.isEmpty()) {
 				step(found);
 			}
 		});
 	}
 
-	private void enter(String name) {
-		if (!this.done.contains(name)) {
+	private void push(String name) {
+		if (!this.visited.contains(name)) {
 			this.path.addLast(new Visit(name));
 			this.onPath.add(name);
 		}
@@ -50,24 +50,24 @@
 
 	private void step(BiConsumer<Dependency, String> found) {
 		Visit visit = this.path.getLast();
-		List<String> needed = this.dependencies.getOrDefault(visit.name, List.of());
-		if (visit.next == needed.size()) {
+		List<String> dependsOn = this.dependencies.getOrDefault(visit.name, List.of());
+		if (visit.next == dependsOn.size()) {
 			this.path.removeLast();
 			this.onPath.remove(visit.name);
-			this.done.add(visit.name);
+			this.visited.add(visit.name);
 			return;
 		}
 		int index = visit.next++;
-		String next = needed.get(index);
+		String next = dependsOn.get(index);
 		if (this.onPath.contains(next)) {
-			found.accept(new Dependency(visit.name, index), way(next));
+			found.accept(new Dependency(visit.name, index), cyclePath(next));
 		}
 		else {
-			enter(next);
+			push(next);
 		}
 	}
 
-	private String way(String start) {
+	private String cyclePath(String start) {
 		List<String> names = new ArrayList<>(this.path.stream().map((visit) -> visit.name).toList());
 		return names.subList(names.indexOf(start), names.size())
 			.stream()
@@ -78,7 +78,7 @@
 	 * One declared dependency.
 	 *
 	 * @param name the workload that declares it
-	 * @param index its place among the workload's dependencies
+	 * @param index its index among the workload's dependencies
 	 */
 	record Dependency(String name, int index) {
 
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/text/ReferenceCheck.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/text/ReferenceCheck.java
@@ -19,9 +19,10 @@
 import org.monsoonrelay.model.workload.Team;
 
 /**
- * Checks what a schema cannot: names used twice, teams and dependencies that are not
- * declared, cycles, work that its team's quota can never hold. What a text with faults of
- * other kinds leaves out is passed over. Not thread-safe; one instance checks one text.
+ * Checks what the schema cannot express: duplicate names, undeclared teams and
+ * dependencies, dependency cycles, and work that exceeds the quota of its team.
+ * Properties missing from the text are skipped; the schema check reports them. Not
+ * thread-safe; one instance checks one text.
  */
 final class ReferenceCheck {
 
@@ -52,12 +53,12 @@
 		names("/teams/", "team", this.text.teams().stream().map(Team::name).toList());
 	}
 
-	private Set<String> names(String prefix, String what, List<String> names) {
+	private Set<String> names(String prefix, String kind, List<String> names) {
 		Set<String> distinct = new HashSet<>();
 		for (int index = 0; index < names.size(); index++) {
 			String name = names.get(index);
 			if (name != null && !distinct.add(name)) {
-				fault(prefix + index + "/name", what + " '" + name + "' is declared twice");
+				fault(prefix + index + "/name", kind + " '" + name + "' is declared twice");
 			}
 		}
 		return distinct;
@@ -71,12 +72,12 @@
 		checkTargets(pointer, service.targets(), operations);
 	}
 
-	private void checkRuns(String prefix, List<RunDeclaration> runs, boolean together) {
+	private void checkRuns(String prefix, List<RunDeclaration> runs, boolean isGang) {
 		for (int index = 0; index < runs.size(); index++) {
 			RunDeclaration run = runs.get(index);
 			String pointer = prefix + index;
 			declare(pointer, run.name(), run.dependsOn());
-			checkQuota(pointer, run.team(), run.size(), together ? run.tasks() : 1);
+			checkQuota(pointer, run.team(), run.size(), isGang ? run.tasks() : 1);
 			checkTargets(pointer, run.targets(), Set.of());
 		}
 	}
@@ -94,7 +95,7 @@
 		}
 	}
 
-	private void checkQuota(String pointer, String teamName, Resources size, int together) {
+	private void checkQuota(String pointer, String teamName, Resources size, int concurrentTasks) {
 		if (teamName == null || size == null) {
 			return;
 		}
@@ -102,13 +103,13 @@
 		if (team.isEmpty()) {
 			fault(pointer + "/team", "team '" + teamName + "' is not declared");
 		}
-		else if (team.get().quota() != null && !covers(team.get().quota(), size, together)) {
-			fault(pointer + "/size", "can never run: " + together + " task(s) of " + size
+		else if (team.get().quota() != null && !fits(team.get().quota(), size, concurrentTasks)) {
+			fault(pointer + "/size", "can never run: " + concurrentTasks + " task(s) of " + size
 					+ " exceed the quota of team '" + teamName + "' " + team.get().quota());
 		}
 	}
 
-	private static boolean covers(Resources quota, Resources size, long count) {
+	private static boolean fits(Resources quota, Resources size, long count) {
 		return size.processors() * count <= quota.processors() && size.memoryMiB() * count <= quota.memoryMiB()
 				&& size.accelerators() * count <= quota.accelerators();
 	}
@@ -117,32 +118,33 @@
 		names(pointer + "/targets/", "target", targets.stream().map(Target::name).toList());
 		for (int index = 0; index < targets.size(); index++) {
 			Target target = targets.get(index);
-			String place = pointer + "/targets/" + index;
+			String targetPointer = pointer + "/targets/" + index;
 			if (target.kind() == TargetKind.ANSWER_WITHIN && !operations.contains(target.operation())) {
-				fault(place + "/operation", "operation '" + target.operation() + "' is not declared here");
+				fault(targetPointer + "/operation", "operation '" + target.operation() + "' is not declared here");
 			}
 			if (target.kind() == TargetKind.FINISH_BY && target.by() == null) {
-				fault(place, "a finish_by target needs 'by'");
+				fault(targetPointer, "a finish_by target needs 'by'");
 			}
 			if (target.kind() != null && target.kind() != TargetKind.FINISH_BY && target.withinMillis() <= 0) {
-				fault(place, "this target needs 'withinMillis'");
+				fault(targetPointer, "this target needs 'withinMillis'");
 			}
 		}
 	}
 
 	private void checkDependencies() {
-		this.dependencies.forEach((name, needed) -> {
-			for (int index = 0; index < needed.size(); index++) {
-				if (!this.dependencies.containsKey(needed.get(index))) {
-					fault(place(name, index), "'" + needed.get(index) + "' is not declared");
+		this.dependencies.forEach((name, dependsOn) -> {
+			for (int index = 0; index < dependsOn.size(); index++) {
+				if (!this.dependencies.containsKey(dependsOn.get(index))) {
+					fault(dependencyPointer(name, index), "'" + dependsOn.get(index) + "' is not declared");
 				}
 			}
 		});
 		new CycleCheck(this.dependencies)
-			.forEach((closing, way) -> fault(place(closing.name(), closing.index()), "closes a cycle: " + way));
+			.forEach((closing, cyclePath) -> fault(dependencyPointer(closing.name(), closing.index()),
+					"closes a cycle: " + cyclePath));
 	}
 
-	private String place(String name, int index) {
+	private String dependencyPointer(String name, int index) {
 		return this.pointerByName.get(name) + "/dependsOn/" + index;
 	}
 
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/text/SchemaCheck.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/text/SchemaCheck.java
@@ -17,7 +17,7 @@
 import org.monsoonrelay.logic.platform.Json;
 
 /**
- * Checks a JSON document against a schema that ships with the program. Thread-safe.
+ * Validates JSON documents against a schema from the class path. Thread-safe.
  */
 public final class SchemaCheck {
 
@@ -27,8 +27,8 @@
 
 	/**
 	 * Load a schema.
-	 * @param owner class beside which the schema lies
-	 * @param resource the schema's file name
+	 * @param owner the class whose package contains the schema
+	 * @param resource the file name of the schema
 	 */
 	public SchemaCheck(Class<?> owner, String resource) {
 		InputStream stream = owner.getResourceAsStream(resource);
@@ -43,17 +43,17 @@
 	}
 
 	/**
-	 * Check a document.
+	 * Validate a document.
 	 * @param document the JSON text
-	 * @return the faults, none if the document fits the schema
+	 * @return the faults, empty if the document is valid
 	 */
 	public List<TextFault> check(String document) {
 		try {
-			JsonNode tree = Json.MAPPER.readTree(document);
-			if (tree.isMissingNode()) {
+			JsonNode root = Json.MAPPER.readTree(document);
+			if (root.isMissingNode()) {
 				return List.of(new TextFault("", "the document is empty"));
 			}
-			return this.schema.validate(tree).stream().map(SchemaCheck::fault).sorted(byPlace()).toList();
+			return this.schema.validate(root).stream().map(SchemaCheck::fault).sorted(byPointerAndReason()).toList();
 		}
 		catch (JsonProcessingException ex) {
 			return List.of(syntaxFault(ex));
@@ -75,17 +75,19 @@
 	}
 
 	/**
-	 * The fault of a document that fits the schema but not the type behind it.
-	 * @param ex why it could not be bound
-	 * @return the fault with its place
+	 * Describe the fault of a document that is valid by the schema but cannot be mapped
+	 * to its Java type.
+	 * @param ex the mapping failure
+	 * @return the fault with its location
 	 */
 	public static TextFault bindingFault(JsonProcessingException ex) {
 		if (!(ex instanceof JsonMappingException mapping)) {
 			return syntaxFault(ex);
 		}
 		StringBuilder pointer = new StringBuilder();
-		for (JsonMappingException.Reference step : mapping.getPath()) {
-			pointer.append('/').append((step.getFieldName() != null) ? step.getFieldName() : step.getIndex());
+		for (JsonMappingException.Reference reference : mapping.getPath()) {
+			pointer.append('/')
+				.append((reference.getFieldName() != null) ? reference.getFieldName() : reference.getIndex());
 		}
 		return new TextFault(pointer.toString(),
 				mapping.getOriginalMessage().lines().findFirst().orElse("cannot be read"));
@@ -93,11 +95,11 @@
 
 	private static TextFault syntaxFault(JsonProcessingException ex) {
 		JsonLocation at = ex.getLocation();
-		String place = (at != null) ? "line " + at.getLineNr() + ", column " + at.getColumnNr() + ": " : "";
-		return new TextFault("", place + ex.getOriginalMessage().lines().findFirst().orElse("not JSON"));
+		String location = (at != null) ? "line " + at.getLineNr() + ", column " + at.getColumnNr() + ": " : "";
+		return new TextFault("", location + ex.getOriginalMessage().lines().findFirst().orElse("not JSON"));
 	}
 
-	private static Comparator<TextFault> byPlace() {
+	private static Comparator<TextFault> byPointerAndReason() {
 		return Comparator.comparing(TextFault::pointer).thenComparing(TextFault::reason);
 	}
 
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/text/TextFault.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/text/TextFault.java
@@ -1,10 +1,10 @@
 package org.monsoonrelay.logic.text;
 
 /**
- * One fault in a JSON text. Immutable.
+ * A fault in a JSON text. Immutable.
  *
- * @param pointer JSON pointer of the faulty place, empty for the whole document
- * @param reason what is wrong there
+ * @param pointer JSON pointer to the faulty value, empty for the whole document
+ * @param reason the description of the fault
  */
 public record TextFault(String pointer, String reason) {
 
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/text/package-info.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/text/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Reading and checking the operators' text.
+ * Parses and validates the operators' text.
  */
 package org.monsoonrelay.logic.text;
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/control/ControlLogTests.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/control/ControlLogTests.java
@@ -26,7 +26,7 @@
 
 class ControlLogTests {
 
-	private static final int MAXIMUM_BYTES_A_DECLARATION = 30;
+	private static final int MAX_BYTES_PER_DECLARATION = 30;
 
 	private final FakePlatform platform = new FakePlatform();
 
@@ -56,7 +56,7 @@
 		return this.log.submit(edit).join();
 	}
 
-	private ControlState inForce() {
+	private ControlState activeState() {
 		return this.log.head().thenCompose(this.log::state).join();
 	}
 
@@ -73,27 +73,27 @@
 				assertThat(conflict.winner().editId()).isEqualTo("b");
 				assertThat(conflict.winner().operator()).isEqualTo("biju");
 			});
-			assertThat(inForce().text()).isEqualTo(text("allocation"));
+			assertThat(activeState().text()).isEqualTo(text("allocation"));
 		}
 
 		@Test
-		void cancellationAndStopAreRetriedOverATextThatCameFirst() {
+		void cancellationAndStopAreRetriedAfterATextThatWasAcceptedFirst() {
 			submit(apply("a", "ana", 0, "roster"));
 			ControlLogTests.this.platform.beforeNextCommit(() -> submit(apply("b", "biju", 1, "roster", "allocation")));
 
 			assertThat(submit(edit("c", EditKind.CANCEL, "roster@r1"))).isEqualTo(new Accepted(3));
 			assertThat(submit(edit("d", EditKind.STOP, "allocation"))).isEqualTo(new Accepted(4));
-			assertThat(inForce().cancelled()).containsExactly("roster@r1");
-			assertThat(inForce().text()).isEqualTo(text("roster", "allocation"));
+			assertThat(activeState().cancelled()).containsExactly("roster@r1");
+			assertThat(activeState().text()).isEqualTo(text("roster", "allocation"));
 		}
 
 		@Test
-		void cancellationBetweenIsNoConflictForAText() {
+		void concurrentCancellationIsNoConflictForAText() {
 			submit(apply("a", "ana", 0, "roster"));
 			ControlLogTests.this.platform.beforeNextCommit(() -> submit(edit("c", EditKind.CANCEL, "roster@r1")));
 
 			assertThat(submit(apply("b", "biju", 1, "roster", "allocation"))).isEqualTo(new Accepted(3));
-			assertThat(inForce().cancelled()).containsExactly("roster@r1");
+			assertThat(activeState().cancelled()).containsExactly("roster@r1");
 		}
 
 		@Test
@@ -112,7 +112,7 @@
 	class LostAnswer {
 
 		@Test
-		void isSettledByReadingBack() {
+		void isResolvedByReadingBack() {
 			ControlLogTests.this.platform.failNextCommit(CommitFault.ANSWER_LOST);
 
 			assertThat(submit(apply("a", "ana", 0, "roster"))).isEqualTo(new Accepted(1));
@@ -120,14 +120,14 @@
 		}
 
 		@Test
-		void isSettledThoughAnotherEditHasLandedSince() {
+		void isResolvedAlthoughAnotherEditWasAcceptedSince() {
 			ControlLogTests.this.platform.failNextCommit(CommitFault.ANSWER_LOST_THEN_DOWN);
 			assertThat(submit(apply("a", "ana", 0, "roster"))).isInstanceOf(Unsettled.class);
 			ControlLogTests.this.platform.down = false;
 			submit(apply("b", "biju", 1, "allocation"));
 
 			assertThat(submit(apply("a", "ana", 0, "roster"))).isEqualTo(new Accepted(1));
-			assertThat(inForce().text()).isEqualTo(text("allocation"));
+			assertThat(activeState().text()).isEqualTo(text("allocation"));
 		}
 
 		@Test
@@ -137,37 +137,37 @@
 			submit(apply("b", "biju", 1, "roster"));
 
 			assertThat(submit(edit("s", EditKind.STOP, "roster"))).isEqualTo(new Accepted(2));
-			assertThat(inForce().stopped()).isEmpty();
+			assertThat(activeState().stopped()).isEmpty();
 		}
 
 		@Test
-		void writeThatArrivesLateIsNeverCalledNotMade() {
+		void writeThatTakesEffectLateIsNeverReportedAsWithoutEffect() {
 			ControlLogTests.this.platform.failNextCommit(CommitFault.DELAYED);
 
 			EditOutcome outcome = submit(apply("a", "ana", 0, "roster"));
-			ControlLogTests.this.platform.arriveLate();
+			ControlLogTests.this.platform.applyDelayedCommits();
 
 			assertThat(outcome).isEqualTo(new Accepted(1));
-			assertThat(inForce().text()).isEqualTo(text("roster"));
+			assertThat(activeState().text()).isEqualTo(text("roster"));
 			assertThat(ControlLogTests.this.platform.rows(TableKeys.EDITS)).hasSize(1);
 		}
 
 		@Test
-		void anotherEditAtTheSameVersionMeansThatOursDidNotLand() {
+		void anotherEditAtTheSameVersionMeansThatTheFirstHadNoEffect() {
 			ControlLogTests.this.platform.failNextCommit(CommitFault.DELAYED);
 			ControlLogTests.this.platform.failNextCommit(CommitFault.DELAYED);
 			ControlLogTests.this.platform.failNextCommit(CommitFault.DELAYED);
 			EditOutcome first = submit(apply("a", "ana", 0, "roster"));
 			submit(apply("b", "biju", 0, "allocation"));
-			ControlLogTests.this.platform.arriveLate();
+			ControlLogTests.this.platform.applyDelayedCommits();
 
 			assertThat(first).isInstanceOf(Unsettled.class);
 			assertThat(submit(apply("a", "ana", 0, "roster"))).isInstanceOf(Conflict.class);
-			assertThat(inForce().text()).isEqualTo(text("allocation"));
+			assertThat(activeState().text()).isEqualTo(text("allocation"));
 		}
 
 		@Test
-		void certainRefusalChangesNothingAndSaysSo() {
+		void definiteRejectionIsReportedAsWithoutEffect() {
 			ControlLogTests.this.platform.failNextCommit(CommitFault.REFUSED);
 
 			assertThat(submit(apply("a", "ana", 0, "roster"))).isInstanceOf(Unavailable.class);
@@ -177,10 +177,10 @@
 	}
 
 	@Nested
-	class Refusals {
+	class Rejections {
 
 		@Test
-		void unknownNamesAreRefusedWithTheirPlace() {
+		void unknownNamesAreRejectedWithTheirPointer() {
 			submit(apply("a", "ana", 0, "roster"));
 
 			assertThat(submit(edit("b", EditKind.STOP, "roster", "rooster"))).isInstanceOfSatisfying(Invalid.class,
@@ -276,7 +276,7 @@
 			int small = objectBytes(100);
 			int large = objectBytes(1100);
 
-			assertThat((large - small) / 1000).isLessThan(MAXIMUM_BYTES_A_DECLARATION);
+			assertThat((large - small) / 1000).isLessThan(MAX_BYTES_PER_DECLARATION);
 		}
 
 		private int objectBytes(int declarations) {
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/control/FakePlatform.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/control/FakePlatform.java
@@ -18,8 +18,8 @@
 import org.monsoonrelay.logic.platform.TableService;
 
 /**
- * Table and object store in memory with faults. Answers come at once, on the caller's
- * thread; not thread-safe.
+ * In-memory table and object store with fault injection. Answers are given immediately on
+ * the caller's thread. Not thread-safe.
  */
 final class FakePlatform implements TableService, ObjectStore {
 
@@ -31,14 +31,14 @@
 
 	private final Deque<CommitFault> commitFaults = new ArrayDeque<>();
 
-	private final List<List<ConditionalWrite>> delayed = new ArrayList<>();
+	private final List<List<ConditionalWrite>> delayedCommits = new ArrayList<>();
 
 	private Runnable beforeCommit = () -> {
 	};
 
 	boolean down;
 
-	boolean throwsAtOnce;
+	boolean throwsOnRead;
 
 	int commits;
 
@@ -49,20 +49,22 @@
 	long bytesWritten;
 
 	/**
-	 * What happens to a commit.
+	 * The fault injected into a commit.
 	 */
 	enum CommitFault {
 
-		/** It takes effect and the answer is lost. */
+		/** The commit takes effect and its answer is lost. */
 		ANSWER_LOST,
 
-		/** It takes effect, the answer is lost, and nothing answers afterwards. */
+		/** The commit takes effect, its answer is lost, and no later call is answered. */
 		ANSWER_LOST_THEN_DOWN,
 
-		/** The answer is lost, and it takes effect only when told to. */
+		/**
+		 * The answer is lost, and the commit takes effect only when the test applies it.
+		 */
 		DELAYED,
 
-		/** It never arrives, for certain. */
+		/** The commit fails and is known to have had no effect. */
 		REFUSED
 
 	}
@@ -75,8 +77,8 @@
 		this.beforeCommit = action;
 	}
 
-	void nextReadIsStale(String key, Optional<Row> old) {
-		this.staleReads.put(key, old);
+	void nextReadIsStale(String key, Optional<Row> staleRow) {
+		this.staleReads.put(key, staleRow);
 	}
 
 	Optional<Row> row(String key) {
@@ -87,19 +89,19 @@
 		return this.rows.rows(prefix);
 	}
 
-	void arriveLate() {
-		this.delayed.forEach(this::write);
-		this.delayed.clear();
+	void applyDelayedCommits() {
+		this.delayedCommits.forEach(this::write);
+		this.delayedCommits.clear();
 	}
 
 	@Override
 	public CompletableFuture<Optional<Row>> read(String key) {
 		this.reads++;
-		if (this.throwsAtOnce) {
+		if (this.throwsOnRead) {
 			throw new IllegalStateException("the client is closed");
 		}
 		if (this.down) {
-			return lost(true);
+			return noAnswer(true);
 		}
 		Optional<Row> stale = this.staleReads.remove(key);
 		return CompletableFuture.completedFuture((stale != null) ? stale : row(key));
@@ -108,7 +110,7 @@
 	@Override
 	public CompletableFuture<List<Row>> scan(String prefix, String after, int limit) {
 		this.reads++;
-		return this.down ? lost(true) : CompletableFuture.completedFuture(
+		return this.down ? noAnswer(true) : CompletableFuture.completedFuture(
 				rows(prefix).stream().filter((row) -> row.key().compareTo(after) > 0).limit(limit).toList());
 	}
 
@@ -121,15 +123,15 @@
 		CommitFault fault = this.commitFaults.poll();
 		this.commits++;
 		if (this.down || fault == CommitFault.REFUSED) {
-			return lost(fault == null);
+			return noAnswer(fault == null);
 		}
 		if (fault == CommitFault.DELAYED) {
-			this.delayed.add(writes);
-			return lost(true);
+			this.delayedCommits.add(writes);
+			return noAnswer(true);
 		}
 		CommitResult result = write(writes);
 		this.down = fault == CommitFault.ANSWER_LOST_THEN_DOWN;
-		return (fault != null) ? lost(true) : CompletableFuture.completedFuture(result);
+		return (fault != null) ? noAnswer(true) : CompletableFuture.completedFuture(result);
 	}
 
 	private CommitResult write(List<ConditionalWrite> writes) {
@@ -144,7 +146,7 @@
 	public CompletableFuture<Void> put(String name, String content) {
 		this.puts++;
 		if (this.down) {
-			return lost(true);
+			return noAnswer(true);
 		}
 		this.objects.put(name, content);
 		return CompletableFuture.completedFuture(null);
@@ -153,10 +155,11 @@
 	@Override
 	public CompletableFuture<Optional<String>> get(String name) {
 		this.reads++;
-		return this.down ? lost(true) : CompletableFuture.completedFuture(Optional.ofNullable(this.objects.get(name)));
+		return this.down ? noAnswer(true)
+				: CompletableFuture.completedFuture(Optional.ofNullable(this.objects.get(name)));
 	}
 
-	private static <T> CompletableFuture<T> lost(boolean mayHaveTakenEffect) {
+	private static <T> CompletableFuture<T> noAnswer(boolean mayHaveTakenEffect) {
 		return CompletableFuture.failedFuture(new PlatformException("no answer", mayHaveTakenEffect, null));
 	}
 
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/control/VersionFollowerTests.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/control/VersionFollowerTests.java
@@ -61,7 +61,7 @@
 		void lateAnswerOfAPeerNeverRevertsAVersion() {
 			edit("first");
 			Node node = VersionFollowerTests.this.node;
-			ControlVersion first = new Node().polled();
+			ControlVersion first = new Node().pollVersion();
 			CompletableFuture<ControlVersion> late = new CompletableFuture<>();
 			node.follower.handleAnnouncement(1, () -> late);
 			edit("second");
@@ -73,12 +73,12 @@
 		}
 
 		@Test
-		void clientThatFailsAtOnceDoesNotEndThePolling() {
+		void exceptionOfTheClientDoesNotStopPolling() {
 			edit("first");
 			FakePlatform platform = VersionFollowerTests.this.platform;
-			platform.throwsAtOnce = true;
+			platform.throwsOnRead = true;
 			VersionFollowerTests.this.node.follower.poll();
-			platform.throwsAtOnce = false;
+			platform.throwsOnRead = false;
 			VersionFollowerTests.this.node.follower.poll();
 
 			assertThat(VersionFollowerTests.this.node.cell()).isEqualTo("first");
@@ -90,42 +90,42 @@
 	class FromPeers {
 
 		@Test
-		void processRestartedDuringAnOutageTakesTheHighestVersionOfAnyPeer() {
+		void processRestartedDuringAnOutageAdoptsTheHighestVersionOfAnyPeer() {
 			edit("first");
-			ControlVersion first = new Node().polled();
+			ControlVersion first = new Node().pollVersion();
 			edit("second");
-			ControlVersion second = new Node().polled();
+			ControlVersion second = new Node().pollVersion();
 			VersionFollowerTests.this.platform.down = true;
 			Node restarted = VersionFollowerTests.this.node;
 			restarted.follower.poll();
-			restarted.hears(first);
-			restarted.hears(second);
-			restarted.hears(first);
+			restarted.receiveAnnouncement(first);
+			restarted.receiveAnnouncement(second);
+			restarted.receiveAnnouncement(first);
 
 			assertThat(restarted.cell()).isEqualTo("second");
 			assertThat(restarted.versions).containsExactly(1L, 2L);
 		}
 
 		@Test
-		void domainCutOffGoesOnAndTakesTheNewVersionWhenHealed() {
+		void partitionedDomainContinuesAndAdoptsTheNewVersionAfterRecovery() {
 			edit("first");
-			Node cut = VersionFollowerTests.this.node;
-			cut.follower.poll();
+			Node partitioned = VersionFollowerTests.this.node;
+			partitioned.follower.poll();
 			VersionFollowerTests.this.platform.down = true;
-			cut.follower.poll();
-			assertThat(cut.cell()).isEqualTo("first");
+			partitioned.follower.poll();
+			assertThat(partitioned.cell()).isEqualTo("first");
 			VersionFollowerTests.this.platform.down = false;
 			edit("second");
-			cut.follower.poll();
+			partitioned.follower.poll();
 
-			assertThat(cut.cell()).isEqualTo("second");
-			assertThat(cut.versions).containsExactly(1L, 2L);
+			assertThat(partitioned.cell()).isEqualTo("second");
+			assertThat(partitioned.versions).containsExactly(1L, 2L);
 		}
 
 		@Test
 		void onlyOneFetchIsInFlightAndTheNextAnnouncementRetries() {
 			edit("first");
-			ControlVersion first = new Node().polled();
+			ControlVersion first = new Node().pollVersion();
 			Node node = VersionFollowerTests.this.node;
 			List<CompletableFuture<ControlVersion>> fetches = new ArrayList<>();
 			for (int peer = 0; peer < 3; peer++) {
@@ -156,7 +156,7 @@
 	}
 
 	/**
-	 * One process with its version in force and all the versions it ever had.
+	 * One process with its active version and all versions that were ever active in it.
 	 */
 	private final class Node {
 
@@ -170,13 +170,13 @@
 			this.tracker.onChange((next) -> this.versions.add(next.head().version()));
 		}
 
-		ControlVersion polled() {
+		ControlVersion pollVersion() {
 			this.follower.poll();
-			ActiveControlState present = this.tracker.activeState();
-			return new ControlVersion(present.head(), present.state());
+			ActiveControlState active = this.tracker.activeState();
+			return new ControlVersion(active.head(), active.state());
 		}
 
-		void hears(ControlVersion version) {
+		void receiveAnnouncement(ControlVersion version) {
 			this.follower.handleAnnouncement(version.head().version(),
 					() -> CompletableFuture.completedFuture(version));
 		}
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/control/package-info.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/control/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Tests of accepting edits and following the version in force.
+ * Tests of accepting edits and following the active version.
  */
 package org.monsoonrelay.logic.control;
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/membership/OwnershipTests.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/membership/OwnershipTests.java
@@ -22,11 +22,12 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Who owns what when schedulers start, stop, freeze and lose the store.
+ * Ownership of racks and queues while schedulers start, stop and freeze, and while the
+ * store is unavailable.
  */
 class OwnershipTests {
 
-	private static final Duration LAPSE = Duration.ofSeconds(4);
+	private static final Duration SESSION_EXPIRY = Duration.ofSeconds(4);
 
 	private static final Map<String, String> WANTED = Map.of(TableKeys.RACKS + "r1", "north", TableKeys.RACKS + "r2",
 			"south", TableKeys.QUEUES + "crew", "");
@@ -43,10 +44,10 @@
 		return instance;
 	}
 
-	private void rounds(int count) {
+	private void runRounds(int count) {
 		for (int index = 0; index < count; index++) {
 			this.time.advance(Duration.ofSeconds(1));
-			this.instances.values().forEach(Instance::round);
+			this.instances.values().forEach(Instance::runRound);
 		}
 	}
 
@@ -57,20 +58,20 @@
 	private int roundsUntilOwnerIs(String key, String session) {
 		int count = 0;
 		while (!owner(key).session().equals(session) && count < 100) {
-			rounds(1);
+			runRounds(1);
 			count++;
 		}
 		return count;
 	}
 
 	@Nested
-	class TakingOver {
+	class TakeOver {
 
 		@Test
 		void followsAKilledOwnerWithinAFewRounds() {
 			start("a", "north");
 			start("b", "south");
-			rounds(3);
+			runRounds(3);
 			assertThat(owner(TableKeys.RACKS + "r1")).isEqualTo(new Ownership("a", 1));
 			OwnershipTests.this.instances.remove("a");
 			assertThat(roundsUntilOwnerIs(TableKeys.RACKS + "r1", "b")).isLessThanOrEqualTo(6);
@@ -81,28 +82,28 @@
 		void followsAPlannedStopInOneRound() {
 			start("a", "north");
 			start("b", "south");
-			rounds(3);
+			runRounds(3);
 			OwnershipTests.this.instances.remove("a").keeper.release();
 			assertThat(roundsUntilOwnerIs(TableKeys.RACKS + "r1", "b")).isOne();
 		}
 
 		@Test
-		void isSettledByReadingWhenItsAnswerIsLost() {
+		void isConfirmedByReadingWhenItsAnswerIsLost() {
 			Instance first = start("a", "north");
 			OwnershipTests.this.table.setAnswersLost(true);
-			rounds(2);
+			runRounds(2);
 			OwnershipTests.this.table.setAnswersLost(false);
-			rounds(2);
+			runRounds(2);
 			assertThat(first.owned).containsOnlyKeys(WANTED.keySet()).containsValue(1L);
 		}
 
 		@Test
-		void givesARackBackToItsOwnFailureDomain() {
+		void returnsARackToItsOwnFailureDomain() {
 			start("a", "north");
-			rounds(3);
+			runRounds(3);
 			assertThat(owner(TableKeys.RACKS + "r2").session()).isEqualTo("a");
 			Instance near = start("b", "south");
-			rounds(3);
+			runRounds(3);
 			assertThat(owner(TableKeys.RACKS + "r2")).isEqualTo(new Ownership("b", 2));
 			assertThat(near.owned).containsKey(TableKeys.RACKS + "r2");
 		}
@@ -113,27 +114,27 @@
 	class AFrozenScheduler {
 
 		@Test
-		void learnsInItsFirstRoundThatItOwnsNothingAnyMore() {
+		void findsInItsFirstRoundThatItOwnsNothing() {
 			Instance frozen = start("a", "north");
 			start("b", "north");
-			rounds(3);
+			runRounds(3);
 			OwnershipTests.this.instances.remove("a");
-			rounds(10);
+			runRounds(10);
 			OwnershipTests.this.instances.put("a", frozen);
-			rounds(1);
+			runRounds(1);
 			assertThat(frozen.owned).isEmpty();
 		}
 
 		@Test
-		void doesNotTakeTheOthersForDeadBecauseItWasAway() {
+		void doesNotExpireOtherSessionsAfterItsOwnPause() {
 			Instance frozen = start("a", "north");
 			start("b", "south");
-			rounds(3);
+			runRounds(3);
 			OwnershipTests.this.instances.remove("a");
-			rounds(60);
+			runRounds(60);
 			long epoch = owner(TableKeys.RACKS + "r2").epoch();
 			OwnershipTests.this.instances.put("a", frozen);
-			rounds(10);
+			runRounds(10);
 			assertThat(owner(TableKeys.RACKS + "r2")).isEqualTo(new Ownership("b", epoch));
 		}
 
@@ -143,28 +144,28 @@
 	class ASlowStore {
 
 		@Test
-		void stillLetsADeadOwnerLapse() {
+		void stillExpiresAStoppedOwner() {
 			start("a", "north");
 			start("b", "south");
-			rounds(3);
+			runRounds(3);
 			OwnershipTests.this.instances.remove("a");
 			for (int round = 0; round < 8; round++) {
 				OwnershipTests.this.time.advance(Duration.ofSeconds(3));
-				OwnershipTests.this.instances.get("b").round();
+				OwnershipTests.this.instances.get("b").runRound();
 			}
 			assertThat(owner(TableKeys.RACKS + "r1").session()).isEqualTo("b");
 		}
 
 		@Test
-		void thatWasDownForLongChangesNoOwner() {
+		void changesNoOwnerAfterALongOutage() {
 			start("a", "north");
 			start("b", "south");
-			rounds(3);
+			runRounds(3);
 			OwnershipTests.this.table.setDown(true);
-			rounds(600);
+			runRounds(600);
 			OwnershipTests.this.table.setDown(false);
-			OwnershipTests.this.instances.get("b").round();
-			rounds(10);
+			OwnershipTests.this.instances.get("b").runRound();
+			runRounds(10);
 			assertThat(owner(TableKeys.RACKS + "r1")).isEqualTo(new Ownership("a", 1));
 			assertThat(owner(TableKeys.RACKS + "r2")).isEqualTo(new Ownership("b", 1));
 		}
@@ -175,27 +176,27 @@
 	class Rows {
 
 		@Test
-		void ofSessionsFollowTheInstancesAndNotTheirRestarts() {
+		void ofSessionsGrowWithTheInstancesAndNotWithTheirRestarts() {
 			start("stays", "north");
 			for (int restart = 0; restart < 50; restart++) {
 				Instance instance = start("restart-" + restart, "south");
-				rounds(2);
+				runRounds(2);
 				OwnershipTests.this.instances.remove("restart-" + restart);
 				if (restart % 2 == 0) {
 					instance.keeper.release();
 				}
-				rounds(8);
+				runRounds(8);
 			}
 			assertThat(OwnershipTests.this.table.rows(TableKeys.SESSIONS)).hasSizeLessThanOrEqualTo(3);
 		}
 
 		@Test
-		void ofOwnersAreReadSeldomWhileNobodyComesOrGoes() {
+		void ofOwnersAreRarelyReadWhileSessionsAreUnchanged() {
 			start("a", "north");
 			start("b", "south");
-			rounds(10);
+			runRounds(10);
 			int before = OwnershipTests.this.table.rowsRead();
-			rounds(60);
+			runRounds(60);
 			int sessionRows = 2 * 2 * 60;
 			assertThat(OwnershipTests.this.table.rowsRead() - before - sessionRows).isLessThanOrEqualTo(12);
 		}
@@ -203,18 +204,18 @@
 	}
 
 	@Nested
-	class AClock {
+	class AWallClock {
 
 		@Test
-		void thatWasYearsAheadAndIsRightAgainIsAcceptedAtOnce() {
+		void thatIsSetBackByYearsDoesNotDelayATakeOver() {
 			ManualTime ahead = new ManualTime(Instant.parse("2055-11-07T00:00:00Z"));
-			MonotonicInstantSource steady = new MonotonicInstantSource(ahead, ahead::nanos);
+			MonotonicInstantSource processTime = new MonotonicInstantSource(ahead, ahead::nanos);
 			start("ahead", "north");
-			rounds(3);
+			runRounds(3);
 			assertThat(owner(TableKeys.RACKS + "r1")).isEqualTo(new Ownership("ahead", 1));
 			ahead.setWallClock(Instant.parse("2026-06-01T00:00:00Z"));
 			ahead.advance(Duration.ofSeconds(5));
-			assertThat(steady.instant()).isEqualTo(Instant.parse("2055-11-07T00:00:05Z"));
+			assertThat(processTime.instant()).isEqualTo(Instant.parse("2055-11-07T00:00:05Z"));
 			OwnershipTests.this.instances.remove("ahead").keeper.release();
 			start("right", "north");
 			assertThat(roundsUntilOwnerIs(TableKeys.RACKS + "r1", "right")).isLessThanOrEqualTo(2);
@@ -236,7 +237,7 @@
 		Instance(String name, String domain) {
 			SessionRecord self = new SessionRecord(name, domain, new HostAddress("10.0.0.2", 7100));
 			this.keeper = new OwnershipKeeper(self, OwnershipTests.this.table, this.control,
-					OwnershipTests.this.time::nanos, LAPSE, (key, ownership, own) -> {
+					OwnershipTests.this.time::nanos, SESSION_EXPIRY, (key, ownership, own) -> {
 						if (own) {
 							this.owned.put(key, ownership.epoch());
 						}
@@ -246,7 +247,7 @@
 					});
 		}
 
-		void round() {
+		void runRound() {
 			this.keeper.runRound(WANTED);
 			this.control.drain();
 		}
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/text/CellTextParserTests.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/text/CellTextParserTests.java
@@ -44,14 +44,14 @@
 	class Syntax {
 
 		@Test
-		void faultNamesLineAndColumn() {
+		void faultStatesLineAndColumn() {
 			assertThat(faults("{\"cell\": \"c\",\n  \"teams\": [}")).singleElement()
 				.asString()
 				.startsWith("/: line 2, column 13: Unexpected close marker");
 		}
 
 		@Test
-		void keyGivenTwiceIsAFault() {
+		void duplicateKeyIsAFault() {
 			assertThat(faults("{\"cell\": \"c\",\n\"cell\": \"d\"}")).singleElement()
 				.asString()
 				.contains("line 2")
@@ -69,7 +69,7 @@
 	class Schema {
 
 		@Test
-		void wrongTypesUnknownKeysAndMissingOnesAreAllNamedAtOnce() {
+		void wrongTypesUnknownKeysAndMissingKeysAreAllReported() {
 			String document = """
 					{"cell": "C!", "teams": [], "batchRun": [],
 					"services": [{"name": "desk", "team": 7, "replicas": "six", "colour": "red", "size": {}}]}""";
@@ -83,7 +83,7 @@
 		}
 
 		@Test
-		void valueThatFitsTheSchemaButNoTypeIsAFaultWithItsPlace() {
+		void valueThatFitsTheSchemaButNotItsTypeIsAFaultWithAPointer() {
 			String target = ", \"targets\": [{\"name\": \"t\", \"kind\": \"finish_by\", \"penaltyCents\": 1, \"by\": \"2026-13-45T00:00:00Z\"}]";
 
 			assertThat(faults(text(run("roster", target)))).singleElement()
@@ -92,7 +92,7 @@
 		}
 
 		@Test
-		void referencesAreCheckedThoughTheSchemaFindsFaults() {
+		void referencesAreCheckedEvenIfTheSchemaFindsFaults() {
 			assertThat(faults(text(run("roster", ", \"colour\": 1"), run("roster", "")))).containsExactly(
 					"/batchRuns/0/colour: unknown key",
 					"/batchRuns/1/name: 'roster' is already declared at /batchRuns/0");
@@ -104,13 +104,13 @@
 	class References {
 
 		@Test
-		void unknownTeamIsNamed() {
+		void unknownTeamIsReported() {
 			assertThat(faults(text(run("roster", "").replace("crew", "cooks"))))
 				.containsExactly("/batchRuns/0/team: team 'cooks' is not declared");
 		}
 
 		@Test
-		void workThatNeverFitsItsQuotaIsNamed() {
+		void workThatExceedsItsQuotaIsReported() {
 			String gang = text(run("settlement", "")).replace("batchRuns", "jobs");
 
 			assertThat(faults(gang)).singleElement()
@@ -120,7 +120,7 @@
 		}
 
 		@Test
-		void cycleIsNamedOnceWithItsWay() {
+		void cycleIsReportedOnceWithItsPath() {
 			assertThat(faults(text(run("a", ", \"dependsOn\": [\"b\"]"), run("b", ", \"dependsOn\": [\"c\", \"x\"]"),
 					run("c", ", \"dependsOn\": [\"a\"]"), run("d", ", \"dependsOn\": [\"a\"]"))))
 				.containsExactlyInAnyOrder("/batchRuns/1/dependsOn/1: 'x' is not declared",
@@ -138,7 +138,7 @@
 		}
 
 		@Test
-		void targetsOfTheSameNameAreNamed() {
+		void targetsOfTheSameNameAreReported() {
 			String target = "{\"name\": \"t\", \"kind\": \"start_within\", \"withinMillis\": 5, \"penaltyCents\": 1}";
 			String targets = IntStream.range(0, 2).mapToObj((index) -> target).collect(Collectors.joining(","));
 
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/text/package-info.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/text/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Tests of reading and checking the operators' text.
+ * Tests of parsing and validating the operators' text.
  */
 package org.monsoonrelay.logic.text;
