--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/fakes/CellData.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/fakes/CellData.java
@@ -21,11 +21,11 @@
 import org.monsoonrelay.model.workload.Team;
 
 /**
- * Hosts and declarations that the tests share.
+ * Hosts and declarations shared by the tests.
  */
 public final class CellData {
 
-	/** The team of all work. */
+	/** The team of all declared work. */
 	public static final String TEAM = "crew";
 
 	/** Size of each worker. */
@@ -38,7 +38,7 @@
 	}
 
 	/**
-	 * A live worker.
+	 * Create a live worker.
 	 * @param name its name
 	 * @param rack its rack
 	 * @return the host
@@ -48,7 +48,7 @@
 	}
 
 	/**
-	 * A worker.
+	 * Create a worker.
 	 * @param name its name
 	 * @param rack its rack
 	 * @param state its state
@@ -60,7 +60,7 @@
 	}
 
 	/**
-	 * A reading of the host list.
+	 * Create a snapshot of the host list.
 	 * @param version its version
 	 * @param hosts the hosts
 	 * @return the list
@@ -70,7 +70,7 @@
 	}
 
 	/**
-	 * An attempt of the first task of a job.
+	 * Create the id of an attempt of the first task of a job.
 	 * @param name the job's name
 	 * @param attempt number of the attempt
 	 * @return the attempt
@@ -80,10 +80,10 @@
 	}
 
 	/**
-	 * A batch run.
+	 * Declare a batch run.
 	 * @param name its name
 	 * @param tasks number of tasks
-	 * @param once whether a task may never run twice
+	 * @param once whether its tasks are run-once tasks
 	 * @return the declaration
 	 */
 	public static RunDeclaration run(String name, int tasks, boolean once) {
@@ -91,22 +91,22 @@
 	}
 
 	/**
-	 * A control state in force that declares batch runs.
+	 * Create an active control state that declares batch runs.
 	 * @param version its version
 	 * @param runs the runs
-	 * @return the state in force
+	 * @return the active state
 	 */
 	public static ActiveControlState activeState(long version, RunDeclaration... runs) {
 		return activeState(version, List.of(), List.of(runs), Set.of());
 	}
 
 	/**
-	 * A control state in force.
+	 * Create an active control state.
 	 * @param version its version
 	 * @param services declared services
 	 * @param runs declared batch runs
-	 * @param cancelled jobs cancelled
-	 * @return the state in force
+	 * @param cancelled the cancelled jobs
+	 * @return the active state
 	 */
 	public static ActiveControlState activeState(long version, List<ServiceDeclaration> services,
 			List<RunDeclaration> runs, Set<String> cancelled) {
@@ -117,9 +117,9 @@
 	}
 
 	/**
-	 * Many batch runs of one task.
-	 * @param count how many
-	 * @param once whether a task may never run twice
+	 * Declare many batch runs with one task each.
+	 * @param count the number of runs
+	 * @param once whether its tasks are run-once tasks
 	 * @return the declarations
 	 */
 	public static List<RunDeclaration> runs(int count, boolean once) {
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/fakes/FakeScheduler.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/fakes/FakeScheduler.java
@@ -26,8 +26,8 @@
 import org.monsoonrelay.model.worker.WorkerId;
 
 /**
- * The real managers of one scheduler over the fakes, driven by hand. Its queue side
- * reaches its own racks, or those of another scheduler. Not thread-safe.
+ * The real rack and queue managers of one scheduler on top of the fakes, advanced by the
+ * test. Its queues use its own racks or those of another scheduler. Not thread-safe.
  */
 public final class FakeScheduler implements RackOwners {
 
@@ -67,7 +67,7 @@
 	}
 
 	/**
-	 * Let this scheduler's queues use the racks of another one.
+	 * Make the queues of this scheduler use the racks of another one.
 	 * @param other the owner of the racks
 	 */
 	public void useRacksOf(FakeScheduler other) {
@@ -75,8 +75,8 @@
 	}
 
 	/**
-	 * Take in a reading of the host list.
-	 * @param list the reading
+	 * Update the host list.
+	 * @param list the list
 	 */
 	public void updateHosts(HostList list) {
 		this.racks.update(list);
@@ -84,7 +84,7 @@
 	}
 
 	/**
-	 * One second of the scheduler's timetable, time included.
+	 * Advance the time by one second and run the scheduled work.
 	 */
 	public void runSecond() {
 		this.time.advance(Duration.ofSeconds(1));
@@ -92,8 +92,8 @@
 	}
 
 	/**
-	 * Several seconds.
-	 * @param count how many
+	 * Run several seconds.
+	 * @param count the number of seconds
 	 */
 	public void runSeconds(int count) {
 		for (int index = 0; index < count; index++) {
@@ -102,7 +102,7 @@
 	}
 
 	/**
-	 * All that a scheduler does in a second, at the present time.
+	 * Run the scheduled work of one second without advancing the time.
 	 */
 	public void runScheduledWork() {
 		this.rackOwner.racks.sendHeartbeats();
@@ -113,7 +113,7 @@
 	}
 
 	/**
-	 * One tick: events, placement, writes and orders.
+	 * Run one tick: events, placement, writes and commands.
 	 */
 	public void tick() {
 		deliver(this.rackOwner.racks);
@@ -172,8 +172,8 @@
 	}
 
 	/**
-	 * Hold back the answers to reservations until they are let go.
-	 * @param isHeld whether to hold them; {@code false} lets all go
+	 * Delay the answers to reservations.
+	 * @param isHeld whether to delay them; {@code false} delivers all delayed answers
 	 */
 	public void setReserveAnswersHeld(boolean isHeld) {
 		this.reserveAnswersHeld = isHeld;
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/fakes/FakeTable.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/fakes/FakeTable.java
@@ -12,14 +12,14 @@
 import org.monsoonrelay.logic.platform.TableService;
 
 /**
- * The table in memory, with its faults: down, answers lost after the write, writes that
- * take effect late. Not thread-safe.
+ * In-memory table with fault injection: unavailable, answers lost after the write, and
+ * delayed writes. Not thread-safe.
  */
 public final class FakeTable implements TableService {
 
 	private final InMemoryRows rows = new InMemoryRows();
 
-	private final List<List<ConditionalWrite>> late = new ArrayList<>();
+	private final List<List<ConditionalWrite>> lateCommits = new ArrayList<>();
 
 	private boolean down;
 
@@ -58,7 +58,7 @@
 			return noAnswer(false);
 		}
 		if (this.commitsLate) {
-			this.late.add(writes);
+			this.lateCommits.add(writes);
 			return noAnswer(true);
 		}
 		CommitResult result = apply(writes);
@@ -79,7 +79,7 @@
 	}
 
 	/**
-	 * The row as it is, whatever the faults.
+	 * The stored row, regardless of injected faults.
 	 * @param key the key
 	 * @return the row, if it exists
 	 */
@@ -88,7 +88,7 @@
 	}
 
 	/**
-	 * All rows under a prefix, whatever the faults.
+	 * All stored rows under a prefix, regardless of injected faults.
 	 * @param prefix the prefix
 	 * @return the rows
 	 */
@@ -97,11 +97,11 @@
 	}
 
 	/**
-	 * Let the held writes take effect, as far as their conditions still hold.
+	 * Apply the delayed commits whose conditions still hold.
 	 */
 	public void applyLateCommits() {
-		this.late.forEach(this::apply);
-		this.late.clear();
+		this.lateCommits.forEach(this::apply);
+		this.lateCommits.clear();
 	}
 
 	public void setDown(boolean isDown) {
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/fakes/FakeWorkers.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/fakes/FakeWorkers.java
@@ -19,9 +19,9 @@
 import org.monsoonrelay.model.job.AttemptId;
 
 /**
- * Workers in memory that fence by epoch and count what they run. Faults for each worker:
- * cut off, agent frozen while its tasks run on, answers lost, commands late, fails all.
- * Not thread-safe.
+ * In-memory workers that fence commands by epoch and count runs. Faults that can be
+ * injected per worker: unreachable (its tasks keep running), answers lost, commands
+ * delayed, and failure of all tasks. Not thread-safe.
  */
 public final class FakeWorkers implements WorkerAgents {
 
@@ -29,7 +29,7 @@
 
 	private final Map<String, Integer> runs = new HashMap<>();
 
-	private final Map<String, Integer> runningNow = new HashMap<>();
+	private final Map<String, Integer> runningByTask = new HashMap<>();
 
 	private int maximumConcurrentRuns;
 
@@ -42,10 +42,10 @@
 			return noAnswer();
 		}
 		if (worker.commandsLate) {
-			worker.late.add(command);
+			worker.lateCommands.add(command);
 			return noAnswer();
 		}
-		WorkerReport report = worker.take(command);
+		WorkerReport report = worker.execute(command);
 		return worker.answersLost ? noAnswer() : CompletableFuture.completedFuture(report);
 	}
 
@@ -54,7 +54,7 @@
 	}
 
 	/**
-	 * A worker by its host's name.
+	 * The worker with a host name, created on first use.
 	 * @param name the name
 	 * @return the worker
 	 */
@@ -63,23 +63,23 @@
 	}
 
 	/**
-	 * Let jobs fail wherever they are started.
-	 * @param names pattern of their names
+	 * Make jobs fail on every worker.
+	 * @param names regular expression for the names of the jobs
 	 */
 	public void failJobs(String names) {
 		this.failingJobs = names;
 	}
 
 	/**
-	 * How often tasks were started, over all workers.
-	 * @return runs by {@code name@run/task}
+	 * The number of runs of each task on all workers.
+	 * @return number of runs by {@code name@run/task}
 	 */
 	public Map<String, Integer> runs() {
 		return this.runs;
 	}
 
 	/**
-	 * The most runs of one task that ever were under way at once.
+	 * The maximum number of concurrent runs of one task so far.
 	 * @return the count
 	 */
 	public int maximumConcurrentRuns() {
@@ -87,7 +87,7 @@
 	}
 
 	/**
-	 * Attempts that run now.
+	 * The running attempts on all workers.
 	 * @return the attempts
 	 */
 	public List<AttemptId> running() {
@@ -100,7 +100,7 @@
 	}
 
 	/**
-	 * Commands that reached workers.
+	 * The number of commands received by all workers.
 	 * @return the count
 	 */
 	public int commands() {
@@ -108,7 +108,7 @@
 	}
 
 	/**
-	 * End all that runs, well.
+	 * Finish all running attempts successfully.
 	 */
 	public void finishAll() {
 		this.workers.values().forEach((worker) -> worker.endAll(AttemptPhase.FINISHED));
@@ -127,7 +127,7 @@
 
 		private final Map<String, Long> forgotten = new HashMap<>();
 
-		private final List<WorkerCommand> late = new ArrayList<>();
+		private final List<WorkerCommand> lateCommands = new ArrayList<>();
 
 		private int incarnation = 1;
 
@@ -145,7 +145,7 @@
 
 		private int commands;
 
-		private WorkerReport take(WorkerCommand command) {
+		private WorkerReport execute(WorkerCommand command) {
 			this.commands++;
 			boolean accepted = command.epoch() >= this.highestEpoch;
 			if (accepted) {
@@ -182,7 +182,7 @@
 			this.attempts.put(attempt, new ReportedAttempt(attempt, start.team(), start.size(), phase));
 			if (!ended) {
 				FakeWorkers.this.runs.merge(task(attempt), 1, Integer::sum);
-				int now = FakeWorkers.this.runningNow.merge(task(attempt), 1, Integer::sum);
+				int now = FakeWorkers.this.runningByTask.merge(task(attempt), 1, Integer::sum);
 				FakeWorkers.this.maximumConcurrentRuns = Math.max(FakeWorkers.this.maximumConcurrentRuns, now);
 			}
 			if (!ended && (this.failsAll || attempt.job().name().matches(FakeWorkers.this.failingJobs))) {
@@ -195,20 +195,20 @@
 			ReportedAttempt entry = this.attempts.get(attempt);
 			if (entry.phase() == AttemptPhase.RUNNING) {
 				this.attempts.put(attempt, new ReportedAttempt(attempt, entry.team(), entry.size(), phase));
-				FakeWorkers.this.runningNow.merge(task(attempt), -1, Integer::sum);
+				FakeWorkers.this.runningByTask.merge(task(attempt), -1, Integer::sum);
 			}
 		}
 
 		/**
-		 * End all that runs here.
-		 * @param phase how it ends
+		 * End all attempts running on this worker.
+		 * @param phase the final phase
 		 */
 		public void endAll(AttemptPhase phase) {
 			List.copyOf(this.attempts.keySet()).forEach((attempt) -> end(attempt, phase));
 		}
 
 		/**
-		 * Start anew: what ran is gone.
+		 * Restart the worker, which loses all attempts.
 		 */
 		public void restart() {
 			endAll(AttemptPhase.STOPPED);
@@ -219,12 +219,12 @@
 		}
 
 		/**
-		 * Let the held commands arrive; nobody waits for their answers any more.
+		 * Deliver the delayed commands; their answers are discarded.
 		 */
 		public void deliverLateCommands() {
 			this.commandsLate = false;
-			this.late.forEach(this::take);
-			this.late.clear();
+			this.lateCommands.forEach(this::execute);
+			this.lateCommands.clear();
 		}
 
 		private String incarnation() {
@@ -256,7 +256,7 @@
 		}
 
 		/**
-		 * Attempts that the worker still has to report.
+		 * The attempts that the worker still reports.
 		 * @return the attempts
 		 */
 		public List<AttemptId> known() {
@@ -264,7 +264,7 @@
 		}
 
 		/**
-		 * Attempts that run here.
+		 * The number of attempts running on this worker.
 		 * @return the count
 		 */
 		public int runningCount() {
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/fakes/InMemoryRows.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/fakes/InMemoryRows.java
@@ -12,8 +12,7 @@
 import org.monsoonrelay.logic.platform.Row;
 
 /**
- * Rows in memory that are written on condition of their versions, without faults. Not
- * thread-safe.
+ * In-memory rows with conditional writes, without fault injection. Not thread-safe.
  */
 public final class InMemoryRows {
 
@@ -22,9 +21,9 @@
 	private long version;
 
 	/**
-	 * Carry a transaction out, or nothing of it.
-	 * @param writes the writes with the versions that they expect
-	 * @return what became of it
+	 * Apply a transaction atomically.
+	 * @param writes the writes with their expected versions
+	 * @return the outcome
 	 */
 	public CommitResult apply(List<ConditionalWrite> writes) {
 		Map<String, Long> conflicts = new HashMap<>();
@@ -51,7 +50,7 @@
 	}
 
 	/**
-	 * The rows whose keys have a prefix, in their order.
+	 * The rows whose keys start with a prefix, in the order of their keys.
 	 * @param prefix the prefix
 	 * @return the rows
 	 */
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/fakes/ManualExecutor.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/fakes/ManualExecutor.java
@@ -5,8 +5,8 @@
 import java.util.concurrent.Executor;
 
 /**
- * The control thread by hand: runs what it was given when a test says so. Not
- * thread-safe.
+ * Executor that stands in for the control thread and runs its tasks when the test calls
+ * {@link #drain()}. Not thread-safe.
  */
 public final class ManualExecutor implements Executor {
 
@@ -18,7 +18,7 @@
 	}
 
 	/**
-	 * Run all tasks, and those that they add.
+	 * Run all queued tasks, including those that they submit.
 	 */
 	public void drain() {
 		while (!this.tasks.isEmpty()) {
@@ -27,7 +27,7 @@
 	}
 
 	/**
-	 * Drop all tasks, as when the process dies.
+	 * Discard all queued tasks, as if the process had crashed.
 	 */
 	public void clear() {
 		this.tasks.clear();
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/fakes/ManualTime.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/fakes/ManualTime.java
@@ -5,7 +5,7 @@
 import java.time.InstantSource;
 
 /**
- * Wall clock and monotonic clock of one process, moved by hand. Not thread-safe.
+ * Wall clock and monotonic clock of one process, advanced by the test. Not thread-safe.
  */
 public final class ManualTime implements InstantSource {
 
@@ -23,7 +23,7 @@
 	}
 
 	/**
-	 * Monotonic time.
+	 * The monotonic clock.
 	 * @return nanoseconds since the start
 	 */
 	public long nanos() {
@@ -31,8 +31,8 @@
 	}
 
 	/**
-	 * Let time pass on both clocks.
-	 * @param time how much
+	 * Advance both clocks.
+	 * @param time the duration
 	 */
 	public void advance(Duration time) {
 		this.now = this.now.plus(time);
@@ -40,7 +40,7 @@
 	}
 
 	/**
-	 * Set the wall clock, which the monotonic clock does not follow.
+	 * Set the wall clock without changing the monotonic clock.
 	 * @param instant the new time
 	 */
 	public void setWallClock(Instant instant) {
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/fakes/package-info.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/fakes/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Fakes at the ports: table, workers, time and executor, each with its fault switches.
+ * Test doubles for the table, workers, time and executor, with fault injection.
  */
 package org.monsoonrelay.logic.fakes;
