--- a/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/http/HealthRoutes.java
+++ b/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/http/HealthRoutes.java
@@ -12,7 +12,7 @@
 import io.jooby.StatusCode;
 
 /**
- * Adds {@code /live}, {@code /ready} and {@code /metrics} to an application. Thread-safe.
+ * Routes {@code /live}, {@code /ready} and {@code /metrics} of a process. Thread-safe.
  */
 public final class HealthRoutes {
 
@@ -20,39 +20,40 @@
 
 	private final MetricRegistry metrics;
 
-	private final Supplier<Optional<String>> notReady;
+	private final Supplier<Optional<String>> unreadyReason;
 
 	private final ObjectMapper mapper = new ObjectMapper()
 		.registerModule(new MetricsModule(TimeUnit.SECONDS, TimeUnit.MILLISECONDS, false));
 
 	/**
-	 * Create the routes.
-	 * @param metrics the metrics to show
-	 * @param notReady why the process is not ready, empty if it is
+	 * Creates the routes.
+	 * @param metrics the metrics to publish
+	 * @param unreadyReason supplies the reason why the process is not ready, empty if it
+	 * is
 	 */
-	public HealthRoutes(MetricRegistry metrics, Supplier<Optional<String>> notReady) {
+	public HealthRoutes(MetricRegistry metrics, Supplier<Optional<String>> unreadyReason) {
 		this.metrics = metrics;
-		this.notReady = notReady;
+		this.unreadyReason = unreadyReason;
 	}
 
 	/**
-	 * Add the routes.
+	 * Adds the routes.
 	 * @param application the application
 	 */
 	public void addTo(Jooby application) {
 		application.get("/live", (context) -> "live");
 		application.get("/ready", (context) -> {
-			Optional<String> reason = this.notReady.get();
+			Optional<String> reason = this.unreadyReason.get();
 			reason.ifPresent((text) -> context.setResponseCode(StatusCode.SERVICE_UNAVAILABLE));
 			return reason.orElse("ready");
 		});
 		application.get("/metrics", (context) -> {
 			context.setResponseHeader("Content-Type", JSON);
-			return write();
+			return writeMetrics();
 		});
 	}
 
-	private String write() throws JsonProcessingException {
+	private String writeMetrics() throws JsonProcessingException {
 		return this.mapper.writeValueAsString(this.metrics);
 	}
 
--- a/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/http/HttpCall.java
+++ b/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/http/HttpCall.java
@@ -16,15 +16,16 @@
 import org.monsoonrelay.model.host.HostAddress;
 
 /**
- * One exchange: a request and the answer that is awaited. Invariant: a failure tells that
- * the request may have taken effect once a connection was given its first byte. Confined
- * to the event loop of its connection once it has begun; the answer is thread-safe.
+ * One HTTP exchange: a request and its pending response. Invariant: a failure states that
+ * the request may have taken effect if the request had already been passed to a
+ * connection. Confined to the event loop of its connection once the timeout has started;
+ * the future of the response is thread-safe.
  */
 final class HttpCall {
 
 	private static final String SCHEME = "http://";
 
-	private final CompletableFuture<JsonHttpClient.Response> answer = new CompletableFuture<>();
+	private final CompletableFuture<JsonHttpClient.Response> response = new CompletableFuture<>();
 
 	private final HttpMethod method;
 
@@ -62,29 +63,29 @@
 		return this.address;
 	}
 
-	CompletableFuture<JsonHttpClient.Response> answer() {
-		return this.answer;
+	CompletableFuture<JsonHttpClient.Response> response() {
+		return this.response;
 	}
 
 	boolean isDone() {
-		return this.answer.isDone();
+		return this.response.isDone();
 	}
 
 	/**
-	 * Begin to count the time.
-	 * @param loop the event loop
-	 * @param late called if the time has run out, after the failure is told
+	 * Starts the timeout of the exchange.
+	 * @param loop the event loop of the connection
+	 * @param onTimeout called after the exchange has failed because of the timeout
 	 */
-	void startTimeout(EventLoop loop, Runnable late) {
+	void startTimeout(EventLoop loop, Runnable onTimeout) {
 		this.timer = loop.schedule(() -> {
 			fail("no answer in " + this.timeout.toMillis() + " ms", null);
-			late.run();
+			onTimeout.run();
 		}, this.timeout.toNanos(), TimeUnit.NANOSECONDS);
 	}
 
 	/**
-	 * The request, which is about to be sent.
-	 * @return its message
+	 * Creates the request message and marks the request as sent.
+	 * @return the request message
 	 */
 	FullHttpRequest createRequest() {
 		this.sent = true;
@@ -98,15 +99,15 @@
 		return request;
 	}
 
-	void complete(JsonHttpClient.Response given) {
+	void complete(JsonHttpClient.Response received) {
 		this.timer.cancel(false);
-		this.answer.complete(given);
+		this.response.complete(received);
 	}
 
 	void fail(String reason, Throwable cause) {
 		if (!isDone()) {
 			this.timer.cancel(false);
-			this.answer.completeExceptionally(new PlatformException(this.url + ": " + reason, this.sent, cause));
+			this.response.completeExceptionally(new PlatformException(this.url + ": " + reason, this.sent, cause));
 		}
 	}
 
--- a/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/http/HttpConnection.java
+++ b/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/http/HttpConnection.java
@@ -11,9 +11,9 @@
 import io.netty.handler.timeout.IdleStateEvent;
 
 /**
- * One connection of a client. Invariants: it carries one exchange at a time; it is used
- * again only after an answer that arrived whole; an answer that nothing asked for closes
- * it. Confined to its event loop.
+ * One connection of a client. Invariants: it carries one exchange at a time; it is reused
+ * only after a complete response; a response without a pending request closes it.
+ * Confined to its event loop.
  */
 final class HttpConnection extends SimpleChannelInboundHandler<FullHttpResponse> {
 
@@ -21,7 +21,7 @@
 
 	private final Channel channel;
 
-	private HttpCall current;
+	private HttpCall currentCall;
 
 	HttpConnection(HttpConnectionPool pool, Channel channel) {
 		this.pool = pool;
@@ -33,7 +33,7 @@
 	}
 
 	void send(HttpCall call) {
-		this.current = call;
+		this.currentCall = call;
 		this.channel.writeAndFlush(call.createRequest()).addListener((written) -> {
 			if (!written.isSuccess()) {
 				call.fail(String.valueOf(written.cause().getMessage()), written.cause());
@@ -51,10 +51,10 @@
 		if (response.status().codeClass() == HttpStatusClass.INFORMATIONAL) {
 			return;
 		}
-		HttpCall call = this.current;
-		this.current = null;
-		boolean isWhole = response.decoderResult().isSuccess();
-		if (call != null && isWhole && HttpUtil.isKeepAlive(response) && !call.isDone()) {
+		HttpCall call = this.currentCall;
+		this.currentCall = null;
+		boolean isComplete = response.decoderResult().isSuccess();
+		if (call != null && isComplete && HttpUtil.isKeepAlive(response) && !call.isDone()) {
 			this.pool.release(this);
 		}
 		else {
@@ -63,7 +63,7 @@
 		if (call == null) {
 			return;
 		}
-		if (isWhole) {
+		if (isComplete) {
 			call.complete(new JsonHttpClient.Response(response.status().code(),
 					response.content().toString(StandardCharsets.UTF_8)));
 		}
@@ -74,7 +74,7 @@
 
 	@Override
 	public void userEventTriggered(ChannelHandlerContext context, Object event) {
-		if (event instanceof IdleStateEvent && this.current == null) {
+		if (event instanceof IdleStateEvent && this.currentCall == null) {
 			close();
 		}
 	}
@@ -82,15 +82,15 @@
 	@Override
 	public void channelInactive(ChannelHandlerContext context) {
 		this.pool.remove(this);
-		if (this.current != null) {
-			this.current.fail("answer was cut", null);
+		if (this.currentCall != null) {
+			this.currentCall.fail("answer was cut", null);
 		}
 	}
 
 	@Override
 	public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-		if (this.current != null) {
-			this.current.fail(String.valueOf(cause.getMessage()), cause);
+		if (this.currentCall != null) {
+			this.currentCall.fail(String.valueOf(cause.getMessage()), cause);
 		}
 		close();
 	}
--- a/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/http/HttpConnectionPool.java
+++ b/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/http/HttpConnectionPool.java
@@ -18,17 +18,18 @@
 import org.monsoonrelay.model.host.HostAddress;
 
 /**
- * The connections to one address, all on one event loop: the one that was idle last is
- * used first. Finding it doesn't grow with the connections to other addresses.
- * Thread-safe: calls are handed to the event loop, to which all else is confined.
+ * The connections to one address, all on one event loop. The connection that became idle
+ * last is reused first. The cost of a lookup does not depend on the number of connections
+ * to other addresses. Thread-safe: calls are passed to the event loop, to which all other
+ * state is confined.
  */
 final class HttpConnectionPool {
 
-	/** An idle connection is closed after this long, seconds. */
-	private static final int IDLE_SECONDS = 60;
+	/** Time after which an idle connection is closed, seconds. */
+	private static final int IDLE_TIMEOUT_SECONDS = 60;
 
-	/** The most that is read of an answer, bytes; a page of 500 rows has some 1 MB. */
-	private static final int MAXIMUM_ANSWER_BYTES = 64 * 1024 * 1024;
+	/** Maximum size of a response, bytes; a page of 500 rows has about 1 MB. */
+	private static final int MAXIMUM_RESPONSE_BYTES = 64 * 1024 * 1024;
 
 	private final HostAddress address;
 
@@ -36,16 +37,17 @@
 
 	private final Bootstrap bootstrap;
 
-	private final Deque<HttpConnection> idle = new ArrayDeque<>();
+	private final Deque<HttpConnection> idleConnections = new ArrayDeque<>();
 
 	private final Semaphore idlePermits;
 
 	/**
-	 * Create an pool.
-	 * @param address the address
-	 * @param loop the event loop of its connections
-	 * @param connectTimeout the longest time to connect
-	 * @param idlePermits how many connections more may be idle, here and elsewhere
+	 * Creates a pool.
+	 * @param address the address of the server
+	 * @param loop the event loop of the connections
+	 * @param connectTimeout the maximum time to establish a connection
+	 * @param idlePermits one permit per connection that may become idle, shared by all
+	 * pools of the client
 	 */
 	HttpConnectionPool(HostAddress address, EventLoop loop, Duration connectTimeout, Semaphore idlePermits) {
 		this.address = address;
@@ -59,19 +61,19 @@
 	}
 
 	/**
-	 * Begin an exchange.
+	 * Starts an exchange on an idle or a new connection.
 	 * @param call the exchange
 	 */
 	void send(HttpCall call) {
 		if (this.loop.inEventLoop()) {
-			begin(call);
+			start(call);
 		}
 		else {
-			this.loop.execute(() -> begin(call));
+			this.loop.execute(() -> start(call));
 		}
 	}
 
-	private void begin(HttpCall call) {
+	private void start(HttpCall call) {
 		HttpConnection connection = takeIdle();
 		while (connection != null && !connection.isOpen()) {
 			connection = takeIdle();
@@ -81,35 +83,36 @@
 			connection.send(call);
 			return;
 		}
-		ChannelFuture connecting = this.bootstrap.connect(this.address.host(), this.address.port());
-		call.startTimeout(this.loop, () -> connecting.channel().close());
-		connecting.addListener((done) -> connected(connecting, call));
+		ChannelFuture connectFuture = this.bootstrap.connect(this.address.host(), this.address.port());
+		call.startTimeout(this.loop, () -> connectFuture.channel().close());
+		connectFuture.addListener((done) -> onConnected(connectFuture, call));
 	}
 
 	private HttpConnection takeIdle() {
-		HttpConnection connection = this.idle.pollLast();
+		HttpConnection connection = this.idleConnections.pollLast();
 		if (connection != null) {
 			this.idlePermits.release();
 		}
 		return connection;
 	}
 
-	private void connected(ChannelFuture connecting, HttpCall call) {
-		if (!connecting.isSuccess()) {
-			call.fail(String.valueOf(connecting.cause().getMessage()), connecting.cause());
+	private void onConnected(ChannelFuture connectFuture, HttpCall call) {
+		if (!connectFuture.isSuccess()) {
+			call.fail(String.valueOf(connectFuture.cause().getMessage()), connectFuture.cause());
 		}
 		else if (!call.isDone()) {
-			connecting.channel().pipeline().get(HttpConnection.class).send(call);
+			connectFuture.channel().pipeline().get(HttpConnection.class).send(call);
 		}
 	}
 
 	/**
-	 * Take a connection back that can be used again. It is closed if too many are idle.
+	 * Returns a reusable connection to the pool, or closes it if too many connections are
+	 * idle.
 	 * @param connection the connection
 	 */
 	void release(HttpConnection connection) {
 		if (this.idlePermits.tryAcquire()) {
-			this.idle.addLast(connection);
+			this.idleConnections.addLast(connection);
 		}
 		else {
 			connection.close();
@@ -117,11 +120,11 @@
 	}
 
 	/**
-	 * Use a connection no more.
+	 * Removes a closed connection from the idle connections.
 	 * @param connection the connection
 	 */
 	void remove(HttpConnection connection) {
-		if (this.idle.remove(connection)) {
+		if (this.idleConnections.remove(connection)) {
 			this.idlePermits.release();
 		}
 	}
@@ -131,9 +134,9 @@
 		@Override
 		protected void initChannel(SocketChannel channel) {
 			channel.pipeline()
-				.addLast(new IdleStateHandler(0, 0, IDLE_SECONDS))
+				.addLast(new IdleStateHandler(0, 0, IDLE_TIMEOUT_SECONDS))
 				.addLast(new HttpClientCodec())
-				.addLast(new HttpObjectAggregator(MAXIMUM_ANSWER_BYTES))
+				.addLast(new HttpObjectAggregator(MAXIMUM_RESPONSE_BYTES))
 				.addLast(new HttpConnection(HttpConnectionPool.this, channel));
 		}
 
--- a/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/http/HttpServer.java
+++ b/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/http/HttpServer.java
@@ -11,8 +11,8 @@
 import org.monsoonrelay.model.host.HostAddress;
 
 /**
- * One HTTP server of a process: Jooby on Netty. It passes on one request of a connection
- * at a time and refuses those that are malformed, too large or too slow. Thread-safe once
+ * An HTTP server based on Jooby and Netty. It processes one request of a connection at a
+ * time and rejects requests that are malformed, too large or too slow. Thread-safe once
  * started.
  */
 public final class HttpServer implements AutoCloseable {
@@ -36,21 +36,21 @@
 	}
 
 	/**
-	 * Create a server.
-	 * @param address where to listen
-	 * @param maximumBodyBytes the largest request body accepted
-	 * @param routes adds the routes
+	 * Creates a server.
+	 * @param address the address to listen on
+	 * @param maximumBodyBytes the maximum size of a request body, bytes
+	 * @param routes adds the routes to the application
 	 */
 	public HttpServer(HostAddress address, int maximumBodyBytes, Consumer<Jooby> routes) {
 		this(address, maximumBodyBytes, RECEIVE_TIMEOUT, routes);
 	}
 
 	/**
-	 * Create a server.
-	 * @param address where to listen
-	 * @param maximumBodyBytes the largest request body accepted
-	 * @param receiveTimeout how long a request may take from its first byte to its last
-	 * @param routes adds the routes
+	 * Creates a server.
+	 * @param address the address to listen on
+	 * @param maximumBodyBytes the maximum size of a request body, bytes
+	 * @param receiveTimeout the maximum time from the first to the last byte of a request
+	 * @param routes adds the routes to the application
 	 */
 	public HttpServer(HostAddress address, int maximumBodyBytes, Duration receiveTimeout, Consumer<Jooby> routes) {
 		this.address = address;
@@ -59,7 +59,7 @@
 		options.setHost(address.host());
 		options.setPort(address.port());
 		options.setMaxRequestSize(maximumBodyBytes);
-		// Larger bodies would be written to the disk.
+		// Jooby writes bodies larger than the buffer to the disk.
 		options.setBufferSize(maximumBodyBytes);
 		options.setIoThreads(IO_THREADS);
 		options.setWorkerThreads(WORKER_THREADS);
@@ -72,7 +72,7 @@
 	}
 
 	/**
-	 * Listen.
+	 * Binds the address and starts to accept connections.
 	 * @throws IllegalStateException if the address cannot be bound
 	 */
 	public void start() {
@@ -81,11 +81,11 @@
 			this.server.start(this.application);
 		}
 		catch (RuntimeException ex) {
-			throw new IllegalStateException("cannot listen at " + this.address + ": " + rootMessage(ex), ex);
+			throw new IllegalStateException("cannot listen at " + this.address + ": " + rootCauseMessage(ex), ex);
 		}
 	}
 
-	private static String rootMessage(Throwable failure) {
+	private static String rootCauseMessage(Throwable failure) {
 		Throwable root = failure;
 		while (root.getCause() != null) {
 			root = root.getCause();
--- a/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/http/JsonHttpClient.java
+++ b/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/http/JsonHttpClient.java
@@ -18,11 +18,11 @@
 import org.monsoonrelay.model.host.HostAddress;
 
 /**
- * Asynchronous HTTP exchanges with JSON bodies over Netty. Invariants: nothing is sent
- * twice, because a repeated write could take effect twice; a connection on which an
- * exchange timed out is not used again; an exchange that waits holds no thread, since the
- * owner of a pool has one open with each worker all the while. Answers are given on the
- * threads of the connections, which must not be blocked. Thread-safe.
+ * Asynchronous HTTP client for JSON bodies, based on Netty. Invariants: no request is
+ * sent twice, because a repeated write could take effect twice; a connection on which an
+ * exchange timed out is not reused; a pending exchange occupies no thread, because the
+ * owner of a pool always has one open exchange with each worker. Responses are completed
+ * on the event loops of the connections, which must not be blocked. Thread-safe.
  */
 public final class JsonHttpClient {
 
@@ -32,9 +32,9 @@
 			new DefaultThreadFactory("http-client", true));
 
 	/**
-	 * Connections that may be idle, as a multiple of the exchanges at once. Bounds the
-	 * descriptors of an owner, which starts several tasks at once on each of hundreds of
-	 * workers.
+	 * Maximum number of idle connections as a multiple of the concurrent exchanges. It
+	 * limits the file descriptors of an owner, which starts several tasks at once on each
+	 * of hundreds of workers.
 	 */
 	private static final int IDLE_FACTOR = 2;
 
@@ -46,7 +46,7 @@
 
 	private final Map<HostAddress, HttpConnectionPool> pools = new ConcurrentHashMap<>();
 
-	private final Deque<HttpCall> waiting = new ArrayDeque<>();
+	private final Deque<HttpCall> waitingCalls = new ArrayDeque<>();
 
 	private final Semaphore idlePermits;
 
@@ -56,13 +56,13 @@
 
 	private final int maximumCalls;
 
-	private int running;
+	private int runningCount;
 
 	/**
-	 * Create a client.
-	 * @param connectTimeout the longest time to connect
-	 * @param callTimeout the longest time for an exchange that names none
-	 * @param maximumCalls most exchanges at once
+	 * Creates a client.
+	 * @param connectTimeout the maximum time to establish a connection
+	 * @param callTimeout the maximum time of an exchange without a timeout of its own
+	 * @param maximumCalls the maximum number of concurrent exchanges; further ones wait
 	 */
 	public JsonHttpClient(Duration connectTimeout, Duration callTimeout, int maximumCalls) {
 		this.connectTimeout = connectTimeout;
@@ -72,87 +72,91 @@
 	}
 
 	/**
-	 * Read.
+	 * Sends a GET request with the default timeout.
 	 * @param url the URL
-	 * @return the answer; fails with {@link PlatformException} if none came whole
+	 * @return the response; fails with {@link PlatformException} if no complete response
+	 * arrives
 	 */
 	public CompletableFuture<Response> get(String url) {
 		return get(url, Duration.ZERO);
 	}
 
 	/**
-	 * Read.
+	 * Sends a GET request.
 	 * @param url the URL
-	 * @param timeout the longest time for the exchange
-	 * @return the answer; fails with {@link PlatformException} if none came whole
+	 * @param timeout the maximum time of the exchange, zero for the default timeout
+	 * @return the response; fails with {@link PlatformException} if no complete response
+	 * arrives
 	 */
 	public CompletableFuture<Response> get(String url, Duration timeout) {
-		return call(new HttpCall(HttpMethod.GET, url, NO_BODY, Map.of(), longest(timeout)));
+		return submit(new HttpCall(HttpMethod.GET, url, NO_BODY, Map.of(), timeoutOrDefault(timeout)));
 	}
 
 	/**
-	 * Put a body.
+	 * Sends a PUT request with the default timeout.
 	 * @param url the URL
-	 * @param body the body
-	 * @return the answer; fails with {@link PlatformException} if none came whole
+	 * @param body the JSON body
+	 * @return the response; fails with {@link PlatformException} if no complete response
+	 * arrives
 	 */
 	public CompletableFuture<Response> put(String url, String body) {
 		Map<String, String> headers = Map.of(CONTENT_TYPE, JSON);
-		return call(
+		return submit(
 				new HttpCall(HttpMethod.PUT, url, body.getBytes(StandardCharsets.UTF_8), headers, this.callTimeout));
 	}
 
 	/**
-	 * Post a body.
+	 * Sends a POST request.
 	 * @param url the URL
-	 * @param body the body
-	 * @param headers headers to add
-	 * @param timeout the longest time for the exchange, zero for the client's
-	 * @return the answer; fails with {@link PlatformException} if none came whole
+	 * @param body the JSON body
+	 * @param headers additional headers
+	 * @param timeout the maximum time of the exchange, zero for the default timeout
+	 * @return the response; fails with {@link PlatformException} if no complete response
+	 * arrives
 	 */
 	public CompletableFuture<Response> post(String url, byte[] body, Map<String, String> headers, Duration timeout) {
-		Map<String, String> all = new HashMap<>(headers);
-		all.put(CONTENT_TYPE, JSON);
-		return call(new HttpCall(HttpMethod.POST, url, body, all, longest(timeout)));
+		Map<String, String> allHeaders = new HashMap<>(headers);
+		allHeaders.put(CONTENT_TYPE, JSON);
+		return submit(new HttpCall(HttpMethod.POST, url, body, allHeaders, timeoutOrDefault(timeout)));
 	}
 
-	private Duration longest(Duration timeout) {
+	private Duration timeoutOrDefault(Duration timeout) {
 		return timeout.isZero() ? this.callTimeout : timeout;
 	}
 
-	private CompletableFuture<Response> call(HttpCall call) {
-		call.answer().whenComplete((answer, failure) -> ended());
-		if (mayBegin(call)) {
-			begin(call);
+	private CompletableFuture<Response> submit(HttpCall call) {
+		call.response().whenComplete((response, failure) -> onCompleted());
+		if (tryAcquireOrEnqueue(call)) {
+			start(call);
 		}
-		return call.answer();
+		return call.response();
 	}
 
-	private synchronized boolean mayBegin(HttpCall call) {
-		if (this.running < this.maximumCalls) {
-			this.running++;
+	private synchronized boolean tryAcquireOrEnqueue(HttpCall call) {
+		if (this.runningCount < this.maximumCalls) {
+			this.runningCount++;
 			return true;
 		}
-		this.waiting.add(call);
+		this.waitingCalls.add(call);
 		return false;
 	}
 
-	private void ended() {
-		HttpCall next = next();
+	private void onCompleted() {
+		HttpCall next = pollNextOrRelease();
 		if (next != null) {
-			begin(next);
+			start(next);
 		}
 	}
 
-	private synchronized HttpCall next() {
-		HttpCall next = this.waiting.poll();
+	private synchronized HttpCall pollNextOrRelease() {
+		HttpCall next = this.waitingCalls.poll();
 		if (next == null) {
-			this.running--;
+			this.runningCount--;
 		}
 		return next;
 	}
 
-	private void begin(HttpCall call) {
+	private void start(HttpCall call) {
 		this.pools
 			.computeIfAbsent(call.address(),
 					(address) -> new HttpConnectionPool(address, GROUP.next(), this.connectTimeout, this.idlePermits))
@@ -160,23 +164,23 @@
 	}
 
 	/**
-	 * An answer that arrived whole. Immutable.
+	 * A complete response. Immutable.
 	 *
-	 * @param code the status
-	 * @param body the body
+	 * @param code the HTTP status code
+	 * @param body the response body
 	 */
 	public record Response(int code, String body) {
 
 		private static final int OK = 200;
 
-		private static final int FIRST_REDIRECT = 300;
+		private static final int MULTIPLE_CHOICES = 300;
 
 		/**
-		 * Whether the status tells success.
+		 * Whether the status code denotes success.
 		 * @return {@code true} for 200 to 299
 		 */
 		public boolean isSuccess() {
-			return this.code >= OK && this.code < FIRST_REDIRECT;
+			return this.code >= OK && this.code < MULTIPLE_CHOICES;
 		}
 
 	}
--- a/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/http/Problem.java
+++ b/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/http/Problem.java
@@ -6,13 +6,13 @@
 import org.monsoonrelay.logic.platform.Json;
 
 /**
- * An error as RFC 9457 writes it. Immutable.
+ * Problem details of a failed request as defined by RFC 9457. Immutable.
  *
- * @param type URI of the kind of problem
- * @param title what the kind of problem is
- * @param status the HTTP status
- * @param detail what is wrong this time
- * @param instance URI of the request, absent if it has no identity
+ * @param type URI of the problem type
+ * @param title short description of the problem type
+ * @param status the HTTP status code
+ * @param detail explanation of this occurrence
+ * @param instance URI of the request, absent if the request has no id
  */
 @JsonInclude(JsonInclude.Include.NON_NULL)
 public record Problem(String type, String title, int status, String detail, String instance) {
@@ -24,11 +24,11 @@
 	private static final String INSTANCE_PREFIX = "urn:monsoonrelay:request:";
 
 	/**
-	 * Create a problem.
-	 * @param kind short name of the kind, in lower case with hyphens
-	 * @param title what the kind is
-	 * @param status the HTTP status
-	 * @param detail what is wrong this time
+	 * Creates a problem without an instance.
+	 * @param kind name of the problem type, in lower case with hyphens
+	 * @param title short description of the problem type
+	 * @param status the HTTP status code
+	 * @param detail explanation of this occurrence
 	 * @return the problem
 	 */
 	public static Problem of(String kind, String title, int status, String detail) {
@@ -36,8 +36,8 @@
 	}
 
 	/**
-	 * This problem as one request had it.
-	 * @param requestId identity of the request
+	 * Returns a copy of this problem that names the request.
+	 * @param requestId the id of the request
 	 * @return the problem with its instance
 	 */
 	public Problem withInstance(String requestId) {
@@ -45,8 +45,8 @@
 	}
 
 	/**
-	 * Answer a request with this problem.
-	 * @param context the request
+	 * Sends this problem as the response to a request.
+	 * @param context the context of the request
 	 */
 	public void send(Context context) {
 		context.setResponseCode(StatusCode.valueOf(this.status));
--- a/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/http/RequestGuard.java
+++ b/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/http/RequestGuard.java
@@ -28,12 +28,12 @@
 import org.monsoonrelay.logic.platform.Json;
 
 /**
- * Stands between the HTTP codec of one connection and the application. Invariants: the
- * application sees one request at a time, so that answers leave in the order of their
- * requests; it sees no request that could not be read whole into the codec; a request
- * that is malformed, too large or too slow gets a problem and the connection is closed; a
- * caller that has closed its sending side still gets its answer. Used by the connection's
- * event loop only.
+ * Handler between the HTTP codec of one connection and the application. Invariants: the
+ * application receives one request at a time, so that responses are sent in the order of
+ * their requests; it receives no part of a request that the codec failed to decode; a
+ * request that is malformed, too large or too slow is answered with a problem and the
+ * connection is closed; a caller that has closed its sending side still receives the
+ * response. Confined to the event loop of the connection.
  */
 final class RequestGuard extends ChannelDuplexHandler {
 
@@ -41,13 +41,13 @@
 
 	private final Deque<HttpObject> queued = new ArrayDeque<>();
 
-	private ScheduledFuture<?> receiveTimeout;
+	private ScheduledFuture<?> receiveTimer;
 
 	private long bodyBytes;
 
 	private boolean receiving;
 
-	private boolean answering;
+	private boolean responsePending;
 
 	private boolean closing;
 
@@ -58,13 +58,13 @@
 	}
 
 	/**
-	 * Note that bytes have arrived that may begin a request.
+	 * Starts the receive timeout if the bytes may be the start of a request.
 	 * @param context the context of this handler
 	 */
 	void onBytesReceived(ChannelHandlerContext context) {
-		if (this.receiveTimeout == null && !this.answering && !this.closing) {
-			this.receiveTimeout = context.executor()
-				.schedule(() -> refuse(context, HttpResponseStatus.REQUEST_TIMEOUT),
+		if (this.receiveTimer == null && !this.responsePending && !this.closing) {
+			this.receiveTimer = context.executor()
+				.schedule(() -> reject(context, HttpResponseStatus.REQUEST_TIMEOUT),
 						this.limits.receiveTimeout().toMillis(), TimeUnit.MILLISECONDS);
 		}
 	}
@@ -75,38 +75,38 @@
 			ReferenceCountUtil.release(message);
 			return;
 		}
-		if (this.answering && !this.receiving) {
+		if (this.responsePending && !this.receiving) {
 			this.queued.add(object);
 			context.channel().config().setAutoRead(false);
 			return;
 		}
-		pass(context, object);
+		forward(context, object);
 	}
 
-	private void pass(ChannelHandlerContext context, HttpObject object) {
+	private void forward(ChannelHandlerContext context, HttpObject object) {
 		if (object.decoderResult().isFailure()) {
 			ReferenceCountUtil.release(object);
-			refuse(context, status(object.decoderResult().cause()));
+			reject(context, statusFor(object.decoderResult().cause()));
 			return;
 		}
-		if (object instanceof HttpRequest request && !begin(context, request)) {
+		if (object instanceof HttpRequest request && !startRequest(context, request)) {
 			ReferenceCountUtil.release(object);
 			return;
 		}
 		if (object instanceof HttpContent content && isTooLarge(content)) {
 			ReferenceCountUtil.release(object);
-			refuse(context, HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
+			reject(context, HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
 			return;
 		}
-		boolean last = object instanceof LastHttpContent;
-		if (last) {
+		boolean isLast = object instanceof LastHttpContent;
+		if (isLast) {
 			this.receiving = false;
-			cancelTimeout();
+			cancelReceiveTimer();
 		}
-		if (object instanceof HttpContent && !this.answering) {
-			// Answered before it was received whole: the rest is of no use.
+		if (object instanceof HttpContent && !this.responsePending) {
+			// The response was sent before the request was complete: discard the rest.
 			ReferenceCountUtil.release(object);
-			if (!last) {
+			if (!isLast) {
 				close(context);
 			}
 			return;
@@ -114,14 +114,14 @@
 		context.fireChannelRead(object);
 	}
 
-	private boolean begin(ChannelHandlerContext context, HttpRequest request) {
+	private boolean startRequest(ChannelHandlerContext context, HttpRequest request) {
 		if (HttpUtil.getContentLength(request, 0L) > this.limits.maximumBodyBytes()) {
-			refuse(context, HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
+			reject(context, HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
 			return false;
 		}
 		this.bodyBytes = 0;
 		this.receiving = true;
-		this.answering = true;
+		this.responsePending = true;
 		onBytesReceived(context);
 		if (HttpUtil.is100ContinueExpected(request)) {
 			context.writeAndFlush(new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE,
@@ -136,7 +136,7 @@
 		return this.bodyBytes > this.limits.maximumBodyBytes();
 	}
 
-	private static HttpResponseStatus status(Throwable cause) {
+	private static HttpResponseStatus statusFor(Throwable cause) {
 		if (cause instanceof TooLongHttpLineException) {
 			return HttpResponseStatus.REQUEST_URI_TOO_LONG;
 		}
@@ -155,21 +155,21 @@
 			context.write(message, promise);
 			return;
 		}
-		this.answering = false;
+		this.responsePending = false;
 		context.write(message, promise.unvoid()).addListener((written) -> {
 			if (this.inputClosed && this.queued.isEmpty()) {
 				close(context);
 			}
-			next(context);
+			forwardQueued(context);
 		});
 	}
 
-	private void next(ChannelHandlerContext context) {
+	private void forwardQueued(ChannelHandlerContext context) {
 		if (this.queued.isEmpty()) {
 			return;
 		}
-		while (!this.queued.isEmpty() && !this.closing && (this.receiving || !this.answering)) {
-			pass(context, this.queued.poll());
+		while (!this.queued.isEmpty() && !this.closing && (this.receiving || !this.responsePending)) {
+			forward(context, this.queued.poll());
 		}
 		context.fireChannelReadComplete();
 		if (this.queued.isEmpty()) {
@@ -181,7 +181,7 @@
 	public void userEventTriggered(ChannelHandlerContext context, Object event) {
 		if (event instanceof ChannelInputShutdownEvent) {
 			this.inputClosed = true;
-			if (this.receiving || !this.answering) {
+			if (this.receiving || !this.responsePending) {
 				close(context);
 			}
 		}
@@ -190,18 +190,18 @@
 
 	@Override
 	public void channelInactive(ChannelHandlerContext context) {
-		cancelTimeout();
+		cancelReceiveTimer();
 		this.queued.forEach(ReferenceCountUtil::release);
 		this.queued.clear();
 		context.fireChannelInactive();
 	}
 
-	private void refuse(ChannelHandlerContext context, HttpResponseStatus status) {
+	private void reject(ChannelHandlerContext context, HttpResponseStatus status) {
 		if (this.closing) {
 			return;
 		}
 		this.closing = true;
-		cancelTimeout();
+		cancelReceiveTimer();
 		Problem problem = Problem.of("invalid-request", "Invalid request", status.code(),
 				"Not run: " + status.reasonPhrase());
 		byte[] body = Json.write(problem).getBytes(StandardCharsets.UTF_8);
@@ -216,14 +216,14 @@
 
 	private void close(ChannelHandlerContext context) {
 		this.closing = true;
-		cancelTimeout();
+		cancelReceiveTimer();
 		context.close();
 	}
 
-	private void cancelTimeout() {
-		if (this.receiveTimeout != null) {
-			this.receiveTimeout.cancel(false);
-			this.receiveTimeout = null;
+	private void cancelReceiveTimer() {
+		if (this.receiveTimer != null) {
+			this.receiveTimer.cancel(false);
+			this.receiveTimer = null;
 		}
 	}
 
--- a/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/http/RequestGuardInstaller.java
+++ b/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/http/RequestGuardInstaller.java
@@ -14,44 +14,45 @@
 import io.netty.handler.codec.http.HttpServerCodec;
 
 /**
- * Puts a {@link RequestGuard} into each connection of this process's HTTP servers. Jooby
- * gives no access to its pipeline, so that Netty's own extension point is used, which
- * finds this class by its service file. Connections of other servers stay as they are.
+ * Adds a {@link RequestGuard} to each connection of the HTTP servers of this process.
+ * Jooby gives no access to its pipeline, so this class uses the extension point of Netty,
+ * which finds it by its service file. Connections of other servers are not changed.
  * Thread-safe.
  */
 public final class RequestGuardInstaller extends ChannelInitializerExtension {
 
-	private static final Map<Integer, RequestLimits> LIMITS = new ConcurrentHashMap<>();
+	private static final Map<Integer, RequestLimits> LIMITS_BY_PORT = new ConcurrentHashMap<>();
 
 	/**
-	 * Let Netty find this class. It looks once, when the first server of the process is
-	 * set up, so that whoever sets one up calls this before.
+	 * Enables the extension point of Netty. Netty looks for extensions only once, when
+	 * the first server of the process is set up, so this method has to be called before
+	 * any server is set up.
 	 */
 	public static void enable() {
 		System.setProperty(EXTENSIONS_SYSTEM_PROPERTY, "serviceload");
 	}
 
 	static void register(int port, RequestLimits limits) {
-		LIMITS.put(port, limits);
+		LIMITS_BY_PORT.put(port, limits);
 	}
 
 	@Override
 	public void postInitializeServerChildChannel(Channel channel) {
 		int port = ((InetSocketAddress) channel.localAddress()).getPort();
-		Optional.ofNullable(LIMITS.get(port)).ifPresent((limits) -> {
+		Optional.ofNullable(LIMITS_BY_PORT.get(port)).ifPresent((limits) -> {
 			channel.config().setOption(ChannelOption.ALLOW_HALF_CLOSURE, true);
-			channel.pipeline().addLast(new LateInitializer(limits));
+			channel.pipeline().addLast(new GuardInitializer(limits));
 		});
 	}
 
 	/**
-	 * Runs after Jooby has built its pipeline. Used by one connection.
+	 * Adds the guard of one connection after Jooby has built the pipeline.
 	 */
-	private static final class LateInitializer extends ChannelInitializer<Channel> {
+	private static final class GuardInitializer extends ChannelInitializer<Channel> {
 
 		private final RequestLimits limits;
 
-		private LateInitializer(RequestLimits limits) {
+		private GuardInitializer(RequestLimits limits) {
 			this.limits = limits;
 		}
 
--- a/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/http/RequestLimits.java
+++ b/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/http/RequestLimits.java
@@ -3,10 +3,10 @@
 import java.time.Duration;
 
 /**
- * What a server accepts as a request. Immutable.
+ * Limits on the requests that a server accepts. Immutable.
  *
- * @param maximumBodyBytes the largest body
- * @param receiveTimeout time from the first byte of a request to its last
+ * @param maximumBodyBytes the maximum size of a request body, bytes
+ * @param receiveTimeout the maximum time from the first to the last byte of a request
  */
 record RequestLimits(int maximumBodyBytes, Duration receiveTimeout) {
 
--- a/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/http/RequestSendTracker.java
+++ b/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/http/RequestSendTracker.java
@@ -7,19 +7,19 @@
 import okhttp3.EventListener;
 
 /**
- * Notes whether a call may have put a byte of its request on the wire, and whether over a
- * connection that was open before. Used by one call; written by the call's thread before
- * its result is read.
+ * Records whether a call may have sent a byte of its request, and whether it used an
+ * existing connection. Used by one call; written by the thread of the call before its
+ * result is read.
  */
 public final class RequestSendTracker extends EventListener {
 
 	private volatile boolean mayHaveSent;
 
-	private volatile boolean connected;
+	private volatile boolean openedConnection;
 
 	@Override
 	public void connectStart(Call call, InetSocketAddress address, Proxy proxy) {
-		this.connected = true;
+		this.openedConnection = true;
 	}
 
 	@Override
@@ -28,19 +28,19 @@
 	}
 
 	/**
-	 * Whether a byte of the request may be on the wire.
-	 * @return {@code false} if it is certain that none is
+	 * Whether a byte of the request may have been sent.
+	 * @return {@code false} if certainly no byte was sent
 	 */
 	public boolean mayHaveSent() {
 		return this.mayHaveSent;
 	}
 
 	/**
-	 * Whether the call went over a connection that was open before.
-	 * @return {@code true} if so
+	 * Whether the call used a connection that was open before the call.
+	 * @return {@code true} if the call opened no connection
 	 */
 	public boolean isOnReusedConnection() {
-		return !this.connected;
+		return !this.openedConnection;
 	}
 
 }
--- a/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/http/package-info.java
+++ b/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/http/package-info.java
@@ -1,4 +1,5 @@
 /**
- * Common parts of the HTTP servers: health, metrics, problems.
+ * HTTP client and server with their common parts: health and metrics routes, problem
+ * details, request limits.
  */
 package org.monsoonrelay.adapters.http;
--- a/monsoonrelay-adapters/src/test/java/org/monsoonrelay/adapters/http/JsonHttpClientTests.java
+++ b/monsoonrelay-adapters/src/test/java/org/monsoonrelay/adapters/http/JsonHttpClientTests.java
@@ -21,17 +21,17 @@
 
 class JsonHttpClientTests {
 
-	private static final Duration AMPLE = Duration.ofSeconds(30);
+	private static final Duration LONG_TIMEOUT = Duration.ofSeconds(30);
 
-	private static final Duration SHORT = Duration.ofMillis(50);
+	private static final Duration SHORT_TIMEOUT = Duration.ofMillis(50);
 
-	private static final int MANY = 40;
+	private static final int CONCURRENT_EXCHANGES = 40;
 
-	private final JsonHttpClient client = new JsonHttpClient(AMPLE, AMPLE, MANY);
+	private final JsonHttpClient client = new JsonHttpClient(LONG_TIMEOUT, LONG_TIMEOUT, CONCURRENT_EXCHANGES);
 
-	private static PlatformException failure(CompletableFuture<JsonHttpClient.Response> answer) {
+	private static PlatformException failure(CompletableFuture<JsonHttpClient.Response> response) {
 		try {
-			throw new AssertionError("answered " + answer.join());
+			throw new AssertionError("unexpected response: " + response.join());
 		}
 		catch (CompletionException ex) {
 			return (PlatformException) ex.getCause();
@@ -45,7 +45,7 @@
 
 	private static void await(CountDownLatch latch) {
 		try {
-			assertThat(latch.await(AMPLE.toSeconds(), TimeUnit.SECONDS)).isTrue();
+			assertThat(latch.await(LONG_TIMEOUT.toSeconds(), TimeUnit.SECONDS)).isTrue();
 		}
 		catch (InterruptedException ex) {
 			Thread.currentThread().interrupt();
@@ -63,11 +63,11 @@
 					connection.write(RawServer.answer("{\"e\":1}"));
 				}
 			})) {
-				JsonHttpClient.Response answer = post(server, "{\"a\":1}", AMPLE).join();
+				JsonHttpClient.Response response = post(server, "{\"a\":1}", LONG_TIMEOUT).join();
 				JsonHttpClientTests.this.client.put(server.address().url() + "/api/o?name=a%2Fb", "x").join();
 				JsonHttpClientTests.this.client.get(server.address().url()).join();
 
-				assertThat(answer).isEqualTo(new JsonHttpClient.Response(200, "{\"e\":1}"));
+				assertThat(response).isEqualTo(new JsonHttpClient.Response(200, "{\"e\":1}"));
 				assertThat(server.requests().get(0)).startsWith("POST /api/hold HTTP/1.1\n")
 					.contains("X-Life: i-1\n")
 					.contains("Host: " + server.address() + "\n")
@@ -79,7 +79,7 @@
 		}
 
 		@Test
-		void usesTheConnectionOfTheOneBefore() throws IOException {
+		void reusesTheConnectionOfThePreviousExchange() throws IOException {
 			try (RawServer server = new RawServer((connection) -> {
 				while (true) {
 					connection.read();
@@ -87,27 +87,27 @@
 				}
 			})) {
 				for (int i = 0; i < 5; i++) {
-					assertThat(post(server, "", AMPLE).join().isSuccess()).isTrue();
+					assertThat(post(server, "", LONG_TIMEOUT).join().isSuccess()).isTrue();
 				}
 				assertThat(server.connections()).isEqualTo(1);
 			}
 		}
 
 		@Test
-		void usesNoConnectionThatTheServerIsAboutToClose() throws IOException {
+		void doesNotReuseAConnectionThatTheServerCloses() throws IOException {
 			try (RawServer server = new RawServer((connection) -> {
 				connection.read();
 				connection.write("HTTP/1.1 503 Busy\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
 				connection.close();
 			})) {
-				assertThat(post(server, "", AMPLE).join().code()).isEqualTo(503);
-				assertThat(post(server, "", AMPLE).join().code()).isEqualTo(503);
+				assertThat(post(server, "", LONG_TIMEOUT).join().code()).isEqualTo(503);
+				assertThat(post(server, "", LONG_TIMEOUT).join().code()).isEqualTo(503);
 			}
 		}
 
 		@Test
-		void waitsForItsTurnWhenTooManyAreOpen() throws IOException {
-			CountDownLatch second = new CountDownLatch(1);
+		void waitsWhileTheMaximumNumberOfExchangesIsRunning() throws IOException {
+			CountDownLatch releaseSlowServer = new CountDownLatch(1);
 			try (RawServer server = new RawServer((connection) -> {
 				while (true) {
 					connection.read();
@@ -115,34 +115,34 @@
 				}
 			}); RawServer slow = new RawServer((connection) -> {
 				connection.read();
-				await(second);
+				await(releaseSlowServer);
 				connection.write(RawServer.answer(""));
 			})) {
-				JsonHttpClient single = new JsonHttpClient(AMPLE, AMPLE, 1);
+				JsonHttpClient single = new JsonHttpClient(LONG_TIMEOUT, LONG_TIMEOUT, 1);
 				CompletableFuture<JsonHttpClient.Response> first = single.get(slow.address().url());
 				CompletableFuture<JsonHttpClient.Response> next = single.get(server.address().url());
 				assertThat(next).isNotDone();
 				assertThat(server.requests()).isEmpty();
-				second.countDown();
+				releaseSlowServer.countDown();
 				assertThat(first.join().isSuccess()).isTrue();
 				assertThat(next.join().isSuccess()).isTrue();
 			}
 		}
 
 		@Test
-		void holdsNoThreadWhileItWaits() throws IOException {
-			CountDownLatch all = new CountDownLatch(MANY);
+		void occupiesNoThreadWhileItIsPending() throws IOException {
+			CountDownLatch allReceived = new CountDownLatch(CONCURRENT_EXCHANGES);
 			try (RawServer server = new RawServer((connection) -> {
 				connection.read();
-				all.countDown();
-				await(all);
+				allReceived.countDown();
+				await(allReceived);
 				connection.write(RawServer.answer(""));
 			})) {
-				List<CompletableFuture<JsonHttpClient.Response>> held = new ArrayList<>();
-				for (int i = 0; i < MANY; i++) {
-					held.add(post(server, "", AMPLE));
+				List<CompletableFuture<JsonHttpClient.Response>> pending = new ArrayList<>();
+				for (int i = 0; i < CONCURRENT_EXCHANGES; i++) {
+					pending.add(post(server, "", LONG_TIMEOUT));
 				}
-				held.forEach((answer) -> assertThat(answer.join().isSuccess()).isTrue());
+				pending.forEach((response) -> assertThat(response.join().isSuccess()).isTrue());
 				assertThat(Thread.getAllStackTraces().keySet())
 					.filteredOn((thread) -> thread.getName().startsWith("http-client"))
 					.hasSizeLessThanOrEqualTo(2);
@@ -150,7 +150,7 @@
 		}
 
 		@Test
-		void leavesNoMoreConnectionsIdleThanTwiceTheExchangesAtOnce() throws IOException {
+		void keepsAtMostTwiceAsManyIdleConnectionsAsConcurrentExchanges() throws IOException {
 			CountDownLatch closed = new CountDownLatch(1);
 			RawServer.Script script = (connection) -> {
 				try {
@@ -165,7 +165,7 @@
 			try (RawServer first = new RawServer(script);
 					RawServer second = new RawServer(script);
 					RawServer third = new RawServer(script)) {
-				JsonHttpClient single = new JsonHttpClient(AMPLE, AMPLE, 1);
+				JsonHttpClient single = new JsonHttpClient(LONG_TIMEOUT, LONG_TIMEOUT, 1);
 				single.get(first.address().url()).join();
 				single.get(second.address().url()).join();
 				assertThat(closed.getCount()).isEqualTo(1);
@@ -175,7 +175,7 @@
 		}
 
 		@Test
-		void isOfPlainHttpOnly() {
+		void rejectsUrlsOtherThanPlainHttp() {
 			assertThatThrownBy(() -> JsonHttpClientTests.this.client.get("ftp://127.0.0.1:1/"))
 				.isInstanceOf(IllegalArgumentException.class);
 		}
@@ -186,36 +186,36 @@
 	class AFailure {
 
 		@Test
-		void hasNoEffectIfNobodyListens() throws IOException {
+		void hasNoEffectIfTheConnectionIsRefused() throws IOException {
 			RawServer server = new RawServer((connection) -> connection.close());
 			server.close();
-			assertThat(failure(post(server, "", AMPLE)).mayHaveTakenEffect()).isFalse();
+			assertThat(failure(post(server, "", LONG_TIMEOUT)).mayHaveTakenEffect()).isFalse();
 		}
 
 		@Test
-		void mayHaveTakenEffectIfTheAnswerIsCut() throws IOException {
+		void mayHaveTakenEffectIfTheResponseIsTruncated() throws IOException {
 			try (RawServer server = new RawServer((connection) -> {
 				connection.read();
 				connection.write("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{");
 				connection.close();
 			})) {
-				assertThat(failure(post(server, "", AMPLE)).mayHaveTakenEffect()).isTrue();
+				assertThat(failure(post(server, "", LONG_TIMEOUT)).mayHaveTakenEffect()).isTrue();
 				assertThat(server.requests()).hasSize(1);
 			}
 		}
 
 		@Test
-		void mayHaveTakenEffectIfTheAnswerIsNoHttp() throws IOException {
+		void mayHaveTakenEffectIfTheResponseIsNotHttp() throws IOException {
 			try (RawServer server = new RawServer((connection) -> {
 				connection.read();
 				connection.write("what?\r\n\r\n");
 			})) {
-				assertThat(failure(post(server, "", AMPLE)).mayHaveTakenEffect()).isTrue();
+				assertThat(failure(post(server, "", LONG_TIMEOUT)).mayHaveTakenEffect()).isTrue();
 			}
 		}
 
 		@Test
-		void byTimeEndsTheUseOfTheConnection() throws IOException {
+		void byTimeoutPreventsReuseOfTheConnection() throws IOException {
 			try (RawServer server = new RawServer((connection) -> {
 				connection.read();
 				if (connection.number() > 1) {
@@ -224,15 +224,15 @@
 				connection.read();
 				connection.write(RawServer.answer("old"));
 			})) {
-				assertThat(failure(post(server, "", SHORT)).mayHaveTakenEffect()).isTrue();
-				assertThat(post(server, "", AMPLE).join().body()).isEqualTo("new");
+				assertThat(failure(post(server, "", SHORT_TIMEOUT)).mayHaveTakenEffect()).isTrue();
+				assertThat(post(server, "", LONG_TIMEOUT).join().body()).isEqualTo("new");
 				assertThat(server.connections()).isEqualTo(2);
 			}
 		}
 
 		@Test
-		void isNotMadeGoodByAnAnswerThatNothingAskedFor() throws IOException {
-			CountDownLatch unasked = new CountDownLatch(1);
+		void isAvoidedByClosingAConnectionWithAnUnsolicitedResponse() throws IOException {
+			CountDownLatch closedAfterUnsolicited = new CountDownLatch(1);
 			try (RawServer server = new RawServer((connection) -> {
 				connection.read();
 				connection.write(RawServer.answer("first"));
@@ -242,13 +242,13 @@
 						connection.read();
 					}
 					catch (IOException ex) {
-						unasked.countDown();
+						closedAfterUnsolicited.countDown();
 					}
 				}
 			})) {
-				assertThat(post(server, "", AMPLE).join().body()).isEqualTo("first");
-				await(unasked);
-				assertThat(post(server, "", AMPLE).join().body()).isEqualTo("first");
+				assertThat(post(server, "", LONG_TIMEOUT).join().body()).isEqualTo("first");
+				await(closedAfterUnsolicited);
+				assertThat(post(server, "", LONG_TIMEOUT).join().body()).isEqualTo("first");
 				assertThat(server.connections()).isEqualTo(2);
 			}
 		}
--- a/monsoonrelay-adapters/src/test/java/org/monsoonrelay/adapters/http/package-info.java
+++ b/monsoonrelay-adapters/src/test/java/org/monsoonrelay/adapters/http/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Tests of the HTTP server and client.
+ * Tests of the HTTP client.
  */
 package org.monsoonrelay.adapters.http;
