--- a/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/logging/DecisionMetrics.java
+++ b/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/logging/DecisionMetrics.java
@@ -15,35 +15,36 @@
 import org.monsoonrelay.logic.events.ProcessDecision;
 
 /**
- * Counts decisions and keeps the spans that they tell, whether their lines are left out
- * or not, and hands them on. Never blocks who decides. Thread-safe.
+ * Counts decisions, records the durations that they report and passes them to the next
+ * log. Includes decisions whose lines are omitted from the log. Never blocks the caller.
+ * Thread-safe.
  */
 public final class DecisionMetrics implements DecisionLog {
 
 	/**
-	 * Reasons of refusals that are counted by name; a program names seven of its own, the
-	 * rest are of bodies that cannot be read.
+	 * Maximum number of refusal reasons that are counted by name. A program defines seven
+	 * reasons of its own; the others describe bodies that cannot be read.
 	 */
-	private static final int MOST_REASONS = 24;
+	private static final int MAX_REASON_NAMES = 24;
 
 	private static final String OTHER = "other";
 
-	private static final String LAPSED = "LAPSED";
+	private static final String LEASE_EXPIRED = "LAPSED";
 
-	private static final Pattern NO_NAME = Pattern.compile("[^A-Za-z0-9]+");
+	private static final Pattern NON_ALPHANUMERIC = Pattern.compile("[^A-Za-z0-9]+");
 
 	private final DecisionLog next;
 
 	private final MetricRegistry metrics;
 
-	private final Set<String> reasons = ConcurrentHashMap.newKeySet();
+	private final Set<String> reasonNames = ConcurrentHashMap.newKeySet();
 
-	private final Map<String, Histogram> spans = new ConcurrentHashMap<>();
+	private final Map<String, Histogram> histograms = new ConcurrentHashMap<>();
 
 	/**
-	 * Count decisions.
-	 * @param next who writes them
-	 * @param metrics where to count
+	 * Creates a log that counts decisions.
+	 * @param next the log that receives each decision afterwards
+	 * @param metrics the registry of the metrics
 	 */
 	public DecisionMetrics(DecisionLog next, MetricRegistry metrics) {
 		this.next = next;
@@ -58,10 +59,10 @@
 
 	private void count(Decision decision) {
 		if (decision instanceof JobDecision.TaskPlaced placed) {
-			placed(placed);
+			countPlacement(placed);
 		}
 		else if (decision instanceof JobDecision.TaskEnded ended) {
-			ended(ended);
+			countTermination(ended);
 		}
 		else if (decision instanceof JobDecision.JobEnded ended) {
 			count("pool.jobs." + ended.state());
@@ -70,34 +71,34 @@
 			}
 		}
 		else if (decision instanceof JobDecision.EligibilityAnswered answered) {
-			note("pool.eligibility.millis", answered.tookMillis());
+			recordValue("pool.eligibility.millis", answered.tookMillis());
 		}
 		else if (decision instanceof JobDecision.RequestRefused refused) {
-			count("refusals.reason." + reason(refused.reason()));
+			count("refusals.reason." + reasonName(refused.reason()));
 		}
 		else if (decision instanceof JobDecision.StartFailed failed) {
 			count("pool.starts.failed." + failed.outcome());
 		}
 		else {
-			countRare(decision);
+			countOther(decision);
 		}
 	}
 
-	private void placed(JobDecision.TaskPlaced placed) {
+	private void countPlacement(JobDecision.TaskPlaced placed) {
 		count("pool.starts.sent");
 		if (placed.attempt() == 1) {
-			note("pool.queue_wait.millis", placed.waitedMillis());
+			recordValue("pool.queue_wait.millis", placed.waitedMillis());
 		}
 	}
 
-	private void ended(JobDecision.TaskEnded ended) {
+	private void countTermination(JobDecision.TaskEnded ended) {
 		count("pool.ends." + ended.end());
-		if (LAPSED.equals(ended.end())) {
+		if (LEASE_EXPIRED.equals(ended.end())) {
 			count("pool.leases.lapsed");
 		}
 	}
 
-	private void countRare(Decision decision) {
+	private void countOther(Decision decision) {
 		if (decision instanceof PoolDecision.OwnershipTaken) {
 			count("pool.ownership.taken");
 		}
@@ -124,21 +125,21 @@
 	@Override
 	public void recordMetric(Metric measure, long value) {
 		switch (measure) {
-			case START_LATENCY -> note("pool.start.millis", value);
-			case ACKNOWLEDGEMENT_LATENCY -> note("pool.acknowledgement.millis", value);
+			case START_LATENCY -> recordValue("pool.start.millis", value);
+			case ACKNOWLEDGEMENT_LATENCY -> recordValue("pool.acknowledgement.millis", value);
 			case WASTED_PROCESSOR_TIME -> this.metrics.counter("pool.wasted.core_micros").inc(value);
 		}
 		this.next.recordMetric(measure, value);
 	}
 
-	// A body's fault may quote the body: names are bounded.
-	private String reason(String text) {
-		String name = NO_NAME.matcher(text).replaceAll("_");
-		boolean isKnown = this.reasons.contains(name);
-		if (!isKnown && this.reasons.size() >= MOST_REASONS) {
+	// The reason for rejecting a body may quote the body: limit the number of names.
+	private String reasonName(String text) {
+		String name = NON_ALPHANUMERIC.matcher(text).replaceAll("_");
+		boolean isKnown = this.reasonNames.contains(name);
+		if (!isKnown && this.reasonNames.size() >= MAX_REASON_NAMES) {
 			return OTHER;
 		}
-		this.reasons.add(name);
+		this.reasonNames.add(name);
 		return name;
 	}
 
@@ -146,8 +147,9 @@
 		this.metrics.counter(name).inc();
 	}
 
-	private void note(String name, long value) {
-		this.spans.computeIfAbsent(name, (key) -> SlidingWindowHistograms.getOrCreate(this.metrics, key)).update(value);
+	private void recordValue(String name, long value) {
+		this.histograms.computeIfAbsent(name, (key) -> SlidingWindowHistograms.getOrCreate(this.metrics, key))
+			.update(value);
 	}
 
 }
--- a/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/logging/DecisionWriter.java
+++ b/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/logging/DecisionWriter.java
@@ -25,27 +25,30 @@
 import org.monsoonrelay.logic.events.DecisionLog;
 
 /**
- * Writes decisions as JSON lines. Never blocks who decides: lines wait in a bounded
- * buffer that one thread empties ten times a second. What does not fit, and what exceeds
- * the {@link LineBudget}, is left out and counted by event in a line of its own.
- * Thread-safe.
+ * Writes decisions as JSON lines. Never blocks the caller: decisions are kept in a
+ * bounded buffer that one thread empties ten times a second. Decisions that do not fit
+ * into the buffer or exceed the {@link LineBudget} are omitted; a separate line reports
+ * their number by event. Thread-safe.
  */
 public final class DecisionWriter implements DecisionLog, AutoCloseable {
 
-	/** Lines that may wait; at 1,000 lines a second two seconds of a stalled reader. */
-	private static final int BUFFERED_LINES = 2000;
+	/**
+	 * Capacity of the buffer; at 1,000 lines a second it covers a stall of two seconds.
+	 */
+	private static final int BUFFER_CAPACITY = 2000;
 
-	private static final long PERIOD_MILLIS = 100;
+	private static final long FLUSH_PERIOD_MILLIS = 100;
 
 	/**
-	 * Bytes that are written at once, whole lines; a pipe takes so much without dividing
-	 * it, and a reader that keeps only the first part of a block loses nothing.
+	 * Maximum size of a block of whole lines that is written at once, unless a single
+	 * line is longer. A pipe does not split a write of this size, so a reader that keeps
+	 * only the first part of a block loses nothing.
 	 */
-	private static final int BLOCK_BYTES = 4096;
+	private static final int MAX_BLOCK_BYTES = 4096;
 
-	private final BlockingQueue<Stamped> buffer = new ArrayBlockingQueue<>(BUFFERED_LINES);
+	private final BlockingQueue<TimestampedDecision> buffer = new ArrayBlockingQueue<>(BUFFER_CAPACITY);
 
-	private final Map<String, Long> leftOut = new ConcurrentHashMap<>();
+	private final Map<String, Long> omittedByEvent = new ConcurrentHashMap<>();
 
 	private final ObjectMapper mapper = new ObjectMapper().disable(JsonGenerator.Feature.AUTO_CLOSE_TARGET);
 
@@ -60,9 +63,9 @@
 	});
 
 	/**
-	 * Create a writer.
-	 * @param out where the lines go
-	 * @param wallMillis the time of day
+	 * Creates a writer.
+	 * @param out the output of the lines
+	 * @param wallMillis the wall clock, milliseconds since the epoch
 	 */
 	public DecisionWriter(OutputStream out, LongSupplier wallMillis) {
 		this.out = out;
@@ -70,63 +73,64 @@
 	}
 
 	/**
-	 * Begin to write.
+	 * Starts the periodic writing.
 	 */
 	public void start() {
-		this.writer.scheduleWithFixedDelay(this::flush, PERIOD_MILLIS, PERIOD_MILLIS, TimeUnit.MILLISECONDS);
+		this.writer.scheduleWithFixedDelay(this::flush, FLUSH_PERIOD_MILLIS, FLUSH_PERIOD_MILLIS,
+				TimeUnit.MILLISECONDS);
 	}
 
 	@Override
 	public void write(Decision decision) {
-		if (!this.buffer.offer(new Stamped(this.wallMillis.getAsLong(), decision))) {
-			leaveOut(decision);
+		if (!this.buffer.offer(new TimestampedDecision(this.wallMillis.getAsLong(), decision))) {
+			countOmitted(decision);
 		}
 	}
 
-	private void leaveOut(Decision decision) {
-		this.leftOut.merge(LineBudget.eventName(decision), 1L, Long::sum);
+	private void countOmitted(Decision decision) {
+		this.omittedByEvent.merge(LineBudget.eventName(decision), 1L, Long::sum);
 	}
 
 	/**
-	 * Write what waits.
+	 * Writes the buffered decisions.
 	 */
 	synchronized void flush() {
-		List<Stamped> lines = new ArrayList<>();
+		List<TimestampedDecision> lines = new ArrayList<>();
 		this.buffer.drainTo(lines);
 		if (lines.isEmpty()) {
 			return;
 		}
 		List<byte[]> encoded = new ArrayList<>();
-		BitSet chosen = LineBudget.select(lines.stream().map(Stamped::decision).toList());
+		BitSet selected = LineBudget.select(lines.stream().map(TimestampedDecision::decision).toList());
 		for (int i = 0; i < lines.size(); i++) {
-			Stamped line = lines.get(i);
-			if (!chosen.get(i)) {
-				leaveOut(line.decision());
+			TimestampedDecision line = lines.get(i);
+			if (!selected.get(i)) {
+				countOmitted(line.decision());
 				continue;
 			}
 			ObjectNode node = this.mapper.createObjectNode()
 				.put("at", line.atMillis())
 				.put("event", LineBudget.eventName(line.decision()));
 			node.setAll((ObjectNode) this.mapper.valueToTree(line.decision()));
-			encoded.add(bytes(node));
+			encoded.add(encode(node));
 		}
-		missing().ifPresent((node) -> encoded.add(bytes(node)));
+		takeOmissionSummary().ifPresent((node) -> encoded.add(encode(node)));
 		try {
 			write(encoded);
 		}
 		catch (IOException ex) {
-			// Nobody reads; the lines count as left out.
-			lines.forEach((line) -> leaveOut(line.decision()));
+			// The output has no reader; count the lines as omitted.
+			lines.forEach((line) -> countOmitted(line.decision()));
 		}
 	}
 
-	private Optional<ObjectNode> missing() {
+	private Optional<ObjectNode> takeOmissionSummary() {
 		ObjectNode byEvent = this.mapper.createObjectNode();
 		long count = 0;
-		for (String event : new TreeSet<>(this.leftOut.keySet())) {
-			long missing = this.leftOut.remove(event);
-			byEvent.put(event, missing);
-			count += missing;
+		for (String event : new TreeSet<>(this.omittedByEvent.keySet())) {
+			long omitted = this.omittedByEvent.remove(event);
+			byEvent.put(event, omitted);
+			count += omitted;
 		}
 		if (count == 0) {
 			return Optional.empty();
@@ -136,14 +140,14 @@
 		return Optional.of(node);
 	}
 
-	private static byte[] bytes(ObjectNode line) {
+	private static byte[] encode(ObjectNode line) {
 		return (line + "\n").getBytes(StandardCharsets.UTF_8);
 	}
 
 	private void write(List<byte[]> encoded) throws IOException {
-		ByteArrayOutputStream block = new ByteArrayOutputStream(BLOCK_BYTES);
+		ByteArrayOutputStream block = new ByteArrayOutputStream(MAX_BLOCK_BYTES);
 		for (byte[] line : encoded) {
-			if (block.size() > 0 && block.size() + line.length > BLOCK_BYTES) {
+			if (block.size() > 0 && block.size() + line.length > MAX_BLOCK_BYTES) {
 				this.out.write(block.toByteArray());
 				this.out.flush();
 				block.reset();
@@ -160,7 +164,7 @@
 		flush();
 	}
 
-	private record Stamped(long atMillis, Decision decision) {
+	private record TimestampedDecision(long atMillis, Decision decision) {
 
 	}
 
--- a/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/logging/JsonLinesConfigurator.java
+++ b/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/logging/JsonLinesConfigurator.java
@@ -14,22 +14,22 @@
 import org.slf4j.Logger;
 
 /**
- * Configures logging in code: JSON lines on standard error, bounded by the
- * {@link LogRateLimitFilter}. A file named by {@code logback.configurationFile} goes
- * before it. Reading an XML file for this would add a tenth to a start. Confined to the
- * thread that first logs.
+ * Configures logging in code: JSON lines on standard error, limited by the
+ * {@link LogRateLimitFilter}. A file named by {@code logback.configurationFile} takes
+ * precedence. An XML configuration would make the start of a process a tenth slower.
+ * Confined to the thread that logs first.
  */
 @ConfiguratorRank(ConfiguratorRank.CUSTOM_HIGH_PRIORITY)
 public final class JsonLinesConfigurator extends ContextAwareBase implements Configurator {
 
 	private static final String FILE_PROPERTY = "logback.configurationFile";
 
-	/** Name of the property or the environment variable with the level of our loggers. */
+	/** System property or environment variable with the level of the own loggers. */
 	private static final String LEVEL_NAME = "MONSOONRELAY_LOG_LEVEL";
 
 	private static final String OWN_LOGGERS = "org.monsoonrelay";
 
-	private static final String LEFT_OUT = "[ignore]";
+	private static final String OMITTED_FIELD = "[ignore]";
 
 	private static final int LINES_PER_WINDOW = 20;
 
@@ -38,11 +38,11 @@
 		if (System.getProperty(FILE_PROPERTY) != null) {
 			return ExecutionStatus.INVOKE_NEXT_IF_ANY;
 		}
-		LogRateLimitFilter flood = new LogRateLimitFilter();
-		flood.setLinesPerWindow(LINES_PER_WINDOW);
-		flood.setContext(loggers);
-		flood.start();
-		loggers.addTurboFilter(flood);
+		LogRateLimitFilter rateLimit = new LogRateLimitFilter();
+		rateLimit.setLinesPerWindow(LINES_PER_WINDOW);
+		rateLimit.setContext(loggers);
+		rateLimit.start();
+		loggers.addTurboFilter(rateLimit);
 		ch.qos.logback.classic.Logger root = loggers.getLogger(Logger.ROOT_LOGGER_NAME);
 		root.setLevel(Level.WARN);
 		root.addAppender(appender(loggers));
@@ -51,11 +51,11 @@
 	}
 
 	private static ConsoleAppender<ILoggingEvent> appender(LoggerContext loggers) {
-		LogstashFieldNames names = new LogstashFieldNames();
-		names.setVersion(LEFT_OUT);
-		names.setLevelValue(LEFT_OUT);
+		LogstashFieldNames fieldNames = new LogstashFieldNames();
+		fieldNames.setVersion(OMITTED_FIELD);
+		fieldNames.setLevelValue(OMITTED_FIELD);
 		LogstashEncoder encoder = new LogstashEncoder();
-		encoder.setFieldNames(names);
+		encoder.setFieldNames(fieldNames);
 		encoder.setContext(loggers);
 		encoder.start();
 		ConsoleAppender<ILoggingEvent> appender = new ConsoleAppender<>();
--- a/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/logging/LineBudget.java
+++ b/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/logging/LineBudget.java
@@ -9,44 +9,45 @@
 import org.monsoonrelay.logic.events.Decision;
 
 /**
- * Chooses which decisions of a period are written. Each event has a share of its own, so
- * that a flood of one hides no other; what the events leave of the whole goes to those
- * that tell an outcome, then to the rest in order. Stateless and thread-safe.
+ * Selects the decisions of a period that are written. Each event has a guaranteed number
+ * of lines, so that a flood of one event does not displace the others. The remaining
+ * lines are given first to decisions that report a final outcome, then to the others in
+ * order. Stateless and thread-safe.
  */
 final class LineBudget {
 
-	/** Lines that an event may write in a period whatever the others do. */
+	/** Lines per period that each event may write regardless of the other events. */
 	static final int GUARANTEED_LINES_PER_EVENT = 30;
 
-	/** Lines in a period; more only where each event is within its own share. */
+	/** Lines per period; exceeded only by the guaranteed lines of the events. */
 	static final int MAX_LINES = 150;
 
 	private LineBudget() {
 	}
 
 	/**
-	 * Choose.
+	 * Selects the decisions to write.
 	 * @param decisions the decisions of a period, in order
-	 * @return the places of those to write
+	 * @return the indices of the selected decisions
 	 */
 	static BitSet select(List<Decision> decisions) {
-		BitSet chosen = new BitSet(decisions.size());
-		Map<String, Integer> written = new HashMap<>();
+		BitSet selected = new BitSet(decisions.size());
+		Map<String, Integer> countByEvent = new HashMap<>();
 		List<Integer> outcomes = new ArrayList<>();
-		List<Integer> rest = new ArrayList<>();
+		List<Integer> others = new ArrayList<>();
 		for (int i = 0; i < decisions.size(); i++) {
 			Decision decision = decisions.get(i);
-			if (written.merge(eventName(decision), 1, Integer::sum) <= GUARANTEED_LINES_PER_EVENT) {
-				chosen.set(i);
+			if (countByEvent.merge(eventName(decision), 1, Integer::sum) <= GUARANTEED_LINES_PER_EVENT) {
+				selected.set(i);
 			}
 			else {
-				(decision.reportsFinalOutcome() ? outcomes : rest).add(i);
+				(decision.reportsFinalOutcome() ? outcomes : others).add(i);
 			}
 		}
-		int left = Math.max(0, MAX_LINES - chosen.cardinality());
-		outcomes.addAll(rest);
-		outcomes.stream().limit(left).forEach(chosen::set);
-		return chosen;
+		int remaining = Math.max(0, MAX_LINES - selected.cardinality());
+		outcomes.addAll(others);
+		outcomes.stream().limit(remaining).forEach(selected::set);
+		return selected;
 	}
 
 	static String eventName(Decision decision) {
--- a/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/logging/LogFields.java
+++ b/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/logging/LogFields.java
@@ -6,18 +6,18 @@
 import org.slf4j.MDC;
 
 /**
- * Fields of the log lines that an action writes on its thread. Immutable; safe for use by
- * several threads at once.
+ * Fields that are added to the log lines of an action on its thread. Immutable and
+ * thread-safe.
  */
 public final class LogFields {
 
-	/** Identity of a caller's request. */
+	/** Id of a caller's request. */
 	public static final String REQUEST = "request";
 
-	/** Identity of a task. */
+	/** Id of a task. */
 	public static final String TASK = "task";
 
-	/** Version of what operators have in force. */
+	/** Version of the active control state. */
 	public static final String VERSION = "version";
 
 	/** Name of an operator. */
@@ -30,9 +30,9 @@
 	}
 
 	/**
-	 * One field.
-	 * @param name the field's name
-	 * @param value its value
+	 * Creates fields with one entry.
+	 * @param name the name of the field
+	 * @param value the value of the field
 	 * @return the fields
 	 */
 	public static LogFields of(String name, Object value) {
@@ -40,20 +40,20 @@
 	}
 
 	/**
-	 * These fields and one more.
-	 * @param name the field's name
-	 * @param value its value
+	 * Returns a copy of these fields with one more entry.
+	 * @param name the name of the field
+	 * @param value the value of the field
 	 * @return the fields
 	 */
 	public LogFields and(String name, Object value) {
-		Map<String, String> more = new LinkedHashMap<>(this.fields);
-		more.put(name, String.valueOf(value));
-		return new LogFields(more);
+		Map<String, String> extended = new LinkedHashMap<>(this.fields);
+		extended.put(name, String.valueOf(value));
+		return new LogFields(extended);
 	}
 
 	/**
-	 * Run an action with these fields.
-	 * @param action writes the log lines
+	 * Runs an action whose log lines carry these fields.
+	 * @param action the action
 	 */
 	public void run(Runnable action) {
 		this.fields.forEach(MDC::put);
--- a/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/logging/LogRateLimitFilter.java
+++ b/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/logging/LogRateLimitFilter.java
@@ -13,12 +13,12 @@
 import org.slf4j.Marker;
 
 /**
- * Limits how many lines a logger writes at a level within a time, so that a fault which
- * repeats does not flood the logs. What is dropped is counted. Thread-safe.
+ * Limits the number of lines that a logger writes at a level within a time window, so
+ * that a repeated fault does not flood the logs. Counts the dropped lines. Thread-safe.
  */
 public final class LogRateLimitFilter extends TurboFilter {
 
-	private static final AtomicLong DROPPED = new AtomicLong();
+	private static final AtomicLong DROPPED_COUNT = new AtomicLong();
 
 	private static final long WINDOW_NANOS = Duration.ofSeconds(10).toNanos();
 
@@ -37,37 +37,37 @@
 	}
 
 	/**
-	 * Set how many lines a logger may write at a level within ten seconds.
-	 * @param lines the number of lines
+	 * Sets the maximum number of lines of a logger and level within ten seconds.
+	 * @param lines the maximum number of lines
 	 */
 	public void setLinesPerWindow(int lines) {
 		this.linesPerWindow = lines;
 	}
 
 	/**
-	 * Number of lines dropped in this process so far.
+	 * Returns the number of lines that this process has dropped.
 	 * @return the count
 	 */
 	public static long droppedCount() {
-		return DROPPED.get();
+		return DROPPED_COUNT.get();
 	}
 
 	@Override
 	public FilterReply decide(Marker marker, Logger logger, Level level, String format, Object[] parameters,
 			Throwable failure) {
-		boolean line = format != null && logger.isEnabledFor(level);
-		if (!line || admits(logger.getName() + level)) {
+		boolean isLogged = format != null && logger.isEnabledFor(level);
+		if (!isLogged || isWithinLimit(logger.getName() + level)) {
 			return FilterReply.NEUTRAL;
 		}
-		DROPPED.incrementAndGet();
+		DROPPED_COUNT.incrementAndGet();
 		return FilterReply.DENY;
 	}
 
-	private boolean admits(String key) {
+	private boolean isWithinLimit(String key) {
 		long now = this.nanoTime.getAsLong();
 		Window window = this.windows.compute(key,
-				(same, present) -> (present == null || now - present.sinceNanos() >= WINDOW_NANOS) ? new Window(now, 1)
-						: new Window(present.sinceNanos(), present.lines() + 1));
+				(ignored, current) -> (current == null || now - current.sinceNanos() >= WINDOW_NANOS)
+						? new Window(now, 1) : new Window(current.sinceNanos(), current.lines() + 1));
 		return window.lines() <= this.linesPerWindow;
 	}
 
--- a/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/logging/Program.java
+++ b/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/logging/Program.java
@@ -8,61 +8,61 @@
 import picocli.CommandLine;
 
 /**
- * Runs a program's command and turns what stops it into one clear line and an exit code,
- * whatever it is. Stateless and thread-safe.
+ * Runs the command of a program and reports any failure as one line and an exit code.
+ * Stateless and thread-safe.
  */
 public final class Program {
 
-	/** All went well. */
+	/** The command succeeded. */
 	public static final int OK = 0;
 
-	/** Something that was asked for did not happen. */
+	/** A requested action failed. */
 	public static final int FAILED = 1;
 
-	/** The command line, a text or the settings have faults. */
+	/** The command line, an input text or the settings are invalid. */
 	public static final int INVALID = 2;
 
-	/** A process or the platform cannot be reached. */
+	/** A process or the platform is unreachable. */
 	public static final int UNREACHABLE = 3;
 
-	/** Another edit came first. */
+	/** The edit conflicts with an edit that was applied before. */
 	public static final int CONFLICT = 4;
 
-	/** It is not known whether what was asked for happened. */
+	/** The outcome of the requested action is unknown. */
 	public static final int UNSETTLED = 5;
 
 	private Program() {
 	}
 
 	/**
-	 * Run a command.
+	 * Runs a command.
 	 * @param command the picocli command
 	 * @param arguments the arguments
-	 * @param errors where the clear line goes
+	 * @param errors the output of error messages
 	 * @return the exit code
 	 */
 	public static int run(Object command, String[] arguments, PrintStream errors) {
 		CommandLine line = new CommandLine(command);
 		line.setErr(new PrintWriter(errors, true));
-		line.setExecutionExceptionHandler((ex, failed, parsed) -> {
-			errors.println(failed.getCommandName() + ": " + ex.getMessage());
+		line.setExecutionExceptionHandler((ex, failedCommand, parsed) -> {
+			errors.println(failedCommand.getCommandName() + ": " + ex.getMessage());
 			return exitCode(ex);
 		});
 		try {
 			return line.execute(arguments);
 		}
 		catch (Error ex) {
-			return failed(line.getCommandName(), ex, errors);
+			return reportError(line.getCommandName(), ex, errors);
 		}
 	}
 
 	/**
-	 * Run a daemon. One that is started without arguments skips the parser, whose classes
-	 * no class archive can hold (170 classes; the gain was not measured by itself).
-	 * @param name the daemon's name
+	 * Runs a daemon. Without arguments the command-line parser is not loaded, because its
+	 * 170 classes cannot be stored in a class data sharing archive.
+	 * @param name the name of the daemon
 	 * @param daemon the picocli command
 	 * @param arguments the arguments
-	 * @param errors where the clear line goes
+	 * @param errors the output of error messages
 	 * @return the exit code
 	 */
 	public static int runDaemon(String name, Callable<Integer> daemon, String[] arguments, PrintStream errors) {
@@ -77,13 +77,13 @@
 			return exitCode(ex);
 		}
 		catch (Error ex) {
-			return failed(name, ex, errors);
+			return reportError(name, ex, errors);
 		}
 	}
 
-	// Without an exit code the process would stay, as its other threads go on: it would
-	// serve nobody and never be started anew.
-	private static int failed(String name, Error failure, PrintStream errors) {
+	// Without an exit code the other threads would keep the process alive: it would serve
+	// no requests and would not be restarted.
+	private static int reportError(String name, Error failure, PrintStream errors) {
 		errors.println(name + ": " + failure);
 		return FAILED;
 	}
--- a/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/logging/SlidingWindowHistograms.java
+++ b/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/logging/SlidingWindowHistograms.java
@@ -5,25 +5,25 @@
 import com.codahale.metrics.SlidingWindowReservoir;
 
 /**
- * Histograms of the most recent values: a value costs a write into an array. Stateless
- * and thread-safe.
+ * Creates histograms of the most recent values. Recording a value costs one write into an
+ * array. Stateless and thread-safe.
  */
 public final class SlidingWindowHistograms {
 
-	/** Values that are kept; a percentile of 99.8 still rests on one of its own. */
-	private static final int KEPT = 512;
+	/** Number of recent values; enough for a distinct 99.8th percentile. */
+	private static final int WINDOW_SIZE = 512;
 
 	private SlidingWindowHistograms() {
 	}
 
 	/**
-	 * Find or make a histogram.
-	 * @param metrics where it is shown
-	 * @param name its name
+	 * Returns the histogram of a name and creates it if it does not exist.
+	 * @param metrics the registry of the histogram
+	 * @param name the name of the histogram
 	 * @return the histogram
 	 */
 	public static Histogram getOrCreate(MetricRegistry metrics, String name) {
-		return metrics.histogram(name, () -> new Histogram(new SlidingWindowReservoir(KEPT)));
+		return metrics.histogram(name, () -> new Histogram(new SlidingWindowReservoir(WINDOW_SIZE)));
 	}
 
 }
--- a/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/logging/package-info.java
+++ b/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/logging/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Logs as JSON lines.
+ * Logging as JSON lines, decision logs and their metrics, and the exit codes of programs.
  */
 package org.monsoonrelay.adapters.logging;
--- a/monsoonrelay-adapters/src/test/java/org/monsoonrelay/adapters/logging/DecisionMetricsTests.java
+++ b/monsoonrelay-adapters/src/test/java/org/monsoonrelay/adapters/logging/DecisionMetricsTests.java
@@ -25,7 +25,7 @@
 	}
 
 	@Test
-	void handEachDecisionOn() {
+	void passEachDecisionToTheNextLog() {
 		Decision decision = new PoolDecision.OwnershipTaken(1, "", "it was never owned");
 		this.log.write(decision);
 		assertThat(this.written).containsExactly(decision);
@@ -33,7 +33,7 @@
 	}
 
 	@Test
-	void keepTheWaitOfFirstAttemptsAlone() {
+	void recordTheQueueWaitOfFirstAttemptsOnly() {
 		this.log.write(new JobDecision.TaskPlaced("a", "a.0.0.0", 1, "w", 1, 5, 300));
 		this.log.write(new JobDecision.TaskPlaced("a", "a.0.0.0", 2, "w", 1, 5, 9000));
 		assertThat(this.metrics.histogram("pool.queue_wait.millis").getSnapshot().getMax()).isEqualTo(300);
@@ -41,7 +41,7 @@
 	}
 
 	@Test
-	void countEndsByHowTheyEndedAndLeasesThatLapsed() {
+	void countTerminationsByReasonAndExpiredLeases() {
 		this.log.write(new JobDecision.TaskEnded("a", "a.0.0.0", 1, "w", "DONE", 300));
 		this.log.write(new JobDecision.TaskEnded("a", "a.0.0.1", 1, "w", "LAPSED", 300));
 		assertThat(count("pool.ends.DONE")).isEqualTo(1);
@@ -50,7 +50,7 @@
 	}
 
 	@Test
-	void countJobsByStateAndThoseThatWereLate() {
+	void countJobsByStateAndLateJobs() {
 		this.log.write(new JobDecision.JobEnded("a", "COMPLETED", 100, -5));
 		this.log.write(new JobDecision.JobEnded("b", "COMPLETED", 100, 5));
 		assertThat(count("pool.jobs.COMPLETED")).isEqualTo(2);
@@ -58,7 +58,7 @@
 	}
 
 	@Test
-	void countRefusalsByReasonUnderABoundedNumberOfNames() {
+	void countRefusalsByReasonWithALimitedNumberOfNames() {
 		for (int i = 0; i < 1000; i++) {
 			this.log.write(new JobDecision.RequestRefused("a", "no such queue", 1));
 			this.log.write(new JobDecision.RequestRefused("a", "body: '" + i + "'", 1));
@@ -69,7 +69,7 @@
 	}
 
 	@Test
-	void keepFiguresThatHaveNoLine() {
+	void recordMetricsWithoutALogLine() {
 		this.log.recordMetric(Metric.START_LATENCY, 7);
 		this.log.recordMetric(Metric.ACKNOWLEDGEMENT_LATENCY, 20);
 		this.log.recordMetric(Metric.WASTED_PROCESSOR_TIME, 1_500_000);
--- a/monsoonrelay-adapters/src/test/java/org/monsoonrelay/adapters/logging/DecisionWriterTests.java
+++ b/monsoonrelay-adapters/src/test/java/org/monsoonrelay/adapters/logging/DecisionWriterTests.java
@@ -23,7 +23,7 @@
 	}
 
 	@Test
-	void aDecisionIsOneLineWithItsInputs() {
+	void aDecisionIsWrittenAsOneLineWithItsInputs() {
 		this.writer.write(new JobDecision.CancellationAnswered("a\nb", "ACCEPTED", 12));
 		this.writer.flush();
 		assertThat(lines()).containsExactly("{\"at\":77,\"event\":\"CancellationAnswered\",\"job\":\"a\\nb\","
@@ -31,7 +31,7 @@
 	}
 
 	@Test
-	void aFloodOfOneKindIsCutAndCountedAndOthersAreKept() {
+	void aFloodOfOneEventIsLimitedAndCountedAndOtherEventsAreWritten() {
 		for (int i = 0; i < 1000; i++) {
 			this.writer.write(new JobDecision.WriteRelayed("a", "h", "ACCEPTED", i));
 		}
@@ -44,7 +44,7 @@
 	}
 
 	@Test
-	void linesThatTellAnOutcomeAreKeptBeforeOthersThatFlood() {
+	void linesWithAFinalOutcomeTakePrecedenceOverOtherLines() {
 		for (int i = 0; i < 100; i++) {
 			this.writer.write(new JobDecision.WriteRelayed("a", "h", "ACCEPTED", i));
 		}
@@ -57,7 +57,7 @@
 	}
 
 	@Test
-	void eachKindHasAShareHoweverManyOutcomesThereAre() {
+	void eachEventHasGuaranteedLinesHoweverManyOutcomesThereAre() {
 		for (int i = 0; i < 1000; i++) {
 			this.writer.write(new JobDecision.RequestRefused("b", "no such queue", i));
 		}
@@ -69,7 +69,7 @@
 	}
 
 	@Test
-	void whatWasLeftOutIsCountedOnce() {
+	void omittedLinesAreReportedOnce() {
 		for (int i = 0; i < 200; i++) {
 			this.writer.write(new JobDecision.RequestRefused("b", "r", i));
 		}
@@ -80,7 +80,7 @@
 	}
 
 	@Test
-	void aFullBufferBlocksNobody() {
+	void aFullBufferDoesNotBlockTheCaller() {
 		for (int i = 0; i < 5000; i++) {
 			this.writer.write(new JobDecision.RequestRefused("b", "r", i));
 		}
@@ -92,7 +92,7 @@
 	@Test
 	void manyLinesAreWrittenInSmallBlocksOfWholeLines() {
 		List<String> blocks = new ArrayList<>();
-		DecisionWriter inBlocks = new DecisionWriter(new OutputStream() {
+		DecisionWriter blockWriter = new DecisionWriter(new OutputStream() {
 			@Override
 			public void write(int value) {
 				throw new AssertionError("written byte by byte");
@@ -104,25 +104,25 @@
 			}
 		}, () -> 1);
 		for (int i = 0; i < 30; i++) {
-			inBlocks.write(new JobDecision.RequestRefused("x".repeat(500), "r", i));
+			blockWriter.write(new JobDecision.RequestRefused("x".repeat(500), "r", i));
 		}
-		inBlocks.flush();
+		blockWriter.flush();
 		assertThat(blocks).hasSizeGreaterThan(3).allMatch((block) -> block.length() <= 4096 && block.endsWith("\n"));
 		assertThat(String.join("", blocks).lines()).hasSize(30);
 	}
 
 	@Test
-	void aReaderThatIsGoneStopsNothing() {
-		DecisionWriter unread = new DecisionWriter(new OutputStream() {
+	void aClosedOutputDoesNotStopTheWriter() {
+		DecisionWriter writerWithoutReader = new DecisionWriter(new OutputStream() {
 			@Override
 			public void write(int value) throws IOException {
 				throw new IOException("closed");
 			}
 		}, () -> 1);
-		unread.write(new JobDecision.RequestRefused("b", "r", 1));
-		unread.flush();
-		unread.write(new JobDecision.RequestRefused("b", "r", 2));
-		unread.close();
+		writerWithoutReader.write(new JobDecision.RequestRefused("b", "r", 1));
+		writerWithoutReader.flush();
+		writerWithoutReader.write(new JobDecision.RequestRefused("b", "r", 2));
+		writerWithoutReader.close();
 	}
 
 }
--- a/monsoonrelay-adapters/src/test/java/org/monsoonrelay/adapters/logging/LogLinesTests.java
+++ b/monsoonrelay-adapters/src/test/java/org/monsoonrelay/adapters/logging/LogLinesTests.java
@@ -39,7 +39,7 @@
 	}
 
 	@Test
-	void lineIsOneJsonObjectWithTheIdentitiesAsFields() {
+	void lineIsOneJsonObjectWithTheIdsAsFields() {
 		List<JsonNode> lines = lines((logger) -> {
 			LogFields.of(LogFields.REQUEST, "r-1").and(LogFields.VERSION, 7).run(() -> logger.info("two\nlines"));
 			logger.info("later");
@@ -53,7 +53,7 @@
 	}
 
 	@Test
-	void areWrittenFromInformationOnForOwnLoggersAndFromWarningsOnForOthers() {
+	void areWrittenFromLevelInfoForOwnLoggersAndFromLevelWarnForOthers() {
 		List<JsonNode> lines = lines((logger) -> {
 			logger.debug("too fine");
 			logger.info("own");
@@ -68,7 +68,7 @@
 	class Flood {
 
 		@Test
-		void ofOneLoggerIsCutAndCountedAndOthersGoOn() {
+		void ofOneLoggerIsLimitedAndCountedAndOtherLevelsAreWritten() {
 			long before = LogRateLimitFilter.droppedCount();
 			List<JsonNode> lines = lines((logger) -> {
 				for (int count = 0; count < 1000; count++) {
@@ -103,7 +103,7 @@
 	}
 
 	/**
-	 * Writes to a logger.
+	 * Writes lines to a logger.
 	 */
 	private interface Action {
 
--- a/monsoonrelay-adapters/src/test/java/org/monsoonrelay/adapters/logging/ProgramTests.java
+++ b/monsoonrelay-adapters/src/test/java/org/monsoonrelay/adapters/logging/ProgramTests.java
@@ -25,21 +25,21 @@
 	}
 
 	@Test
-	void daemonWithoutArgumentsEndsWithItsOwnCode() {
+	void daemonWithoutArgumentsReturnsItsOwnExitCode() {
 		assertThat(run(() -> Program.UNREACHABLE)).isEqualTo(Program.UNREACHABLE);
 		assertThat(errors()).isEmpty();
 	}
 
 	@Test
-	void faultySettingsGiveOneClearLineWithAndWithoutArguments() {
-		assertThat(run(new Faulty())).isEqualTo(Program.INVALID);
-		assertThat(run(new Faulty(), "--")).isEqualTo(Program.INVALID);
+	void invalidSettingsAreReportedAsOneLineWithAndWithoutArguments() {
+		assertThat(run(new DaemonWithInvalidSettings())).isEqualTo(Program.INVALID);
+		assertThat(run(new DaemonWithInvalidSettings(), "--")).isEqualTo(Program.INVALID);
 		assertThat(errors().lines()).containsExactly("daemon: the setting ip is missing",
 				"daemon: the setting ip is missing");
 	}
 
 	@Test
-	void otherFailuresGiveOneClearLine() {
+	void otherFailuresAreReportedAsOneLine() {
 		assertThat(run(() -> {
 			throw new IllegalStateException("port in use");
 		})).isEqualTo(Program.FAILED);
@@ -47,28 +47,28 @@
 	}
 
 	/**
-	 * A process whose program file was cut while it started neither served nor ended for
-	 * ten minutes, until it was killed. A class that is not found is an error and no
-	 * exception: it ended the main thread without an exit code, and the threads that had
-	 * been started before kept the process.
+	 * Guards against a process that hangs when its program file is truncated during the
+	 * start; one did so for ten minutes until it was killed. A missing class raises an
+	 * error, not an exception. If it is not caught, the main thread ends without an exit
+	 * code and the threads that are already running keep the process alive.
 	 */
 	@Test
-	void classThatIsNotFoundEndsTheProgramWithOneClearLine() {
-		assertThat(run(new Cut())).isEqualTo(Program.FAILED);
-		assertThat(run(new Cut(), "--")).isEqualTo(Program.FAILED);
+	void missingClassEndsTheProgramWithOneLine() {
+		assertThat(run(new DaemonWithMissingClass())).isEqualTo(Program.FAILED);
+		assertThat(run(new DaemonWithMissingClass(), "--")).isEqualTo(Program.FAILED);
 		assertThat(errors().lines()).hasSize(2)
 			.allMatch((line) -> line.equals("daemon: java.lang.NoClassDefFoundError: org/monsoonrelay/Missing"));
 	}
 
 	@Test
-	void unknownArgumentsAreRefused() {
-		assertThat(run(new Faulty(), "--nonsense")).isEqualTo(Program.INVALID);
+	void unknownArgumentsAreRejected() {
+		assertThat(run(new DaemonWithInvalidSettings(), "--nonsense")).isEqualTo(Program.INVALID);
 		assertThat(errors()).contains("--nonsense");
 	}
 
-	/** A daemon one of whose classes is missing. */
+	/** A daemon that fails because of a missing class. */
 	@Command(name = "daemon")
-	static final class Cut implements Callable<Integer> {
+	static final class DaemonWithMissingClass implements Callable<Integer> {
 
 		@Override
 		public Integer call() {
@@ -77,9 +77,9 @@
 
 	}
 
-	/** A daemon whose settings have a fault. */
+	/** A daemon that fails because of invalid settings. */
 	@Command(name = "daemon")
-	static final class Faulty implements Callable<Integer> {
+	static final class DaemonWithInvalidSettings implements Callable<Integer> {
 
 		@Override
 		public Integer call() {
