--- a/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/node/ControlFollower.java
+++ b/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/node/ControlFollower.java
@@ -19,13 +19,14 @@
 import org.monsoonrelay.model.host.HostAddress;
 
 /**
- * Carries versions between a process's follower and its peers. Thread-safe.
+ * Keeps the control state of a process up to date from the platform and from its peers,
+ * and provides it to the peers. Thread-safe.
  */
 public final class ControlFollower {
 
 	private static final System.Logger LOGGER = System.getLogger(ControlFollower.class.getName());
 
-	private static final Duration TIMEOUT = Duration.ofSeconds(2);
+	private static final Duration PEER_TIMEOUT = Duration.ofSeconds(2);
 
 	private final VersionFollower follower;
 
@@ -34,33 +35,34 @@
 	public ControlFollower(ControlLog log, ControlTracker tracker) {
 		this.follower = new VersionFollower(log, tracker);
 		this.tracker = tracker;
-		tracker.onChange(ControlFollower::logChange);
+		tracker.onChange(ControlFollower::logActivation);
 	}
 
-	private static void logChange(ActiveControlState next) {
+	private static void logActivation(ActiveControlState next) {
 		LogFields.of(LogFields.VERSION, next.head().version())
-			.run(() -> LOGGER.log(System.Logger.Level.INFO, "a new version is in force"));
+			.run(() -> LOGGER.log(System.Logger.Level.INFO, "a new control version is active"));
 	}
 
 	/**
-	 * Ask the platform for the head, unless an answer is awaited already.
-	 * @return completes, never exceptionally, when the version is in force or cannot be
-	 * had
+	 * Polls the platform for the latest version, unless a poll is already pending.
+	 * @return completes, never exceptionally, when the version is active or is not
+	 * available
 	 */
 	public CompletableFuture<Void> poll() {
 		return this.follower.poll();
 	}
 
 	/**
-	 * A peer has announced its version; fetch it if it is higher.
-	 * @param network the peers
-	 * @param peer the peer
-	 * @param version its version
+	 * Handles the announcement of a peer's version and fetches the version if it is
+	 * newer.
+	 * @param network the network of the peers
+	 * @param peer the address of the peer
+	 * @param version the version of the peer
 	 */
 	public void handleAnnouncement(PeerNetwork network, HostAddress peer, long version) {
 		this.follower.handleAnnouncement(version, () -> {
 			Envelope.Builder request = Envelope.newBuilder().setStateRequest(StateRequest.getDefaultInstance());
-			return network.request(peer, request, TIMEOUT).thenApply((reply) -> decode(reply.getStateReply()));
+			return network.request(peer, request, PEER_TIMEOUT).thenApply((reply) -> decode(reply.getStateReply()));
 		});
 	}
 
@@ -70,17 +72,17 @@
 	}
 
 	/**
-	 * Answer a peer that asks for the version in force here.
+	 * Creates the reply to a peer that requests the active version.
 	 * @return the reply
 	 */
 	public Envelope.Builder createStateReply() {
-		ActiveControlState present = this.tracker.activeState();
+		ActiveControlState active = this.tracker.activeState();
 		return Envelope.newBuilder()
 			.setStateReply(StateReply.newBuilder()
-				.setVersion(present.head().version())
-				.setStateDigest(present.head().stateDigest())
-				.setEditId(present.head().editId())
-				.setStateJson(Json.write(present.state())));
+				.setVersion(active.head().version())
+				.setStateDigest(active.head().stateDigest())
+				.setEditId(active.head().editId())
+				.setStateJson(Json.write(active.state())));
 	}
 
 }
--- a/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/node/HostListFollower.java
+++ b/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/node/HostListFollower.java
@@ -16,27 +16,27 @@
 import org.monsoonrelay.model.host.HostAddress;
 
 /**
- * Keeps the newest host list that the platform or a peer has given. While the platform
- * does not answer, one peer after the other is asked, so that a process that starts in an
- * outage knows its hosts. Invariant: the version never goes down. Thread-safe.
+ * Keeps the newest host list received from the platform or a peer. While the platform
+ * does not respond, the peers are polled in turn, so that a process that starts during an
+ * outage gets a host list. Invariant: the version never decreases. Thread-safe.
  */
 public final class HostListFollower {
 
-	private static final Duration TIMEOUT = Duration.ofSeconds(1);
+	private static final Duration PEER_TIMEOUT = Duration.ofSeconds(1);
 
 	private final HostListService platform;
 
 	private final Consumer<HostList> listener;
 
-	private final AtomicInteger turn = new AtomicInteger();
+	private final AtomicInteger pollCount = new AtomicInteger();
 
 	private volatile HostList newest = new HostList(0, List.of());
 
 	/**
-	 * Create a follower.
-	 * @param platform the platform's list
-	 * @param listener told of each reading that is not older than the one before, on any
-	 * thread
+	 * Creates a follower.
+	 * @param platform the host list service of the platform
+	 * @param listener called on any thread with each list that is not older than the
+	 * newest one
 	 */
 	public HostListFollower(HostListService platform, Consumer<HostList> listener) {
 		this.platform = platform;
@@ -44,35 +44,36 @@
 	}
 
 	/**
-	 * Read the platform's list, or a peer's where the platform does not answer.
-	 * @param network the peers
-	 * @param peers their addresses
-	 * @return completes, never exceptionally, when the list is taken or cannot be had
+	 * Polls the platform for the list, or one peer if the platform does not respond.
+	 * @param network the network of the peers
+	 * @param peers the addresses of the peers
+	 * @return completes, never exceptionally, when the list is updated or is not
+	 * available
 	 */
 	public CompletableFuture<Void> poll(PeerNetwork network, List<HostAddress> peers) {
 		return this.platform.read(this.newest.version())
-			.thenAccept((list) -> list.ifPresent(this::take))
-			.handle((taken, failure) -> (failure != null) ? askPeer(network, peers)
+			.thenAccept((list) -> list.ifPresent(this::updateIfNotOlder))
+			.handle((updated, failure) -> (failure != null) ? pollNextPeer(network, peers)
 					: CompletableFuture.<Void>completedFuture(null))
-			.thenCompose((asked) -> asked);
+			.thenCompose((polled) -> polled);
 	}
 
-	private CompletableFuture<Void> askPeer(PeerNetwork network, List<HostAddress> peers) {
+	private CompletableFuture<Void> pollNextPeer(PeerNetwork network, List<HostAddress> peers) {
 		if (peers.isEmpty()) {
 			return CompletableFuture.completedFuture(null);
 		}
-		HostAddress peer = peers.get(Math.floorMod(this.turn.getAndIncrement(), peers.size()));
+		HostAddress peer = peers.get(Math.floorMod(this.pollCount.getAndIncrement(), peers.size()));
 		Envelope.Builder request = Envelope.newBuilder()
 			.setHostsRequest(HostsRequest.newBuilder().setKnownVersion(this.newest.version()));
-		return network.request(peer, request, TIMEOUT).handle((reply, failure) -> {
+		return network.request(peer, request, PEER_TIMEOUT).handle((reply, failure) -> {
 			if (failure == null && !reply.getHostsReply().getHostsJson().isEmpty()) {
-				take(Json.read(reply.getHostsReply().getHostsJson(), HostList.class));
+				updateIfNotOlder(Json.read(reply.getHostsReply().getHostsJson(), HostList.class));
 			}
 			return null;
 		});
 	}
 
-	private synchronized void take(HostList list) {
+	private synchronized void updateIfNotOlder(HostList list) {
 		if (list.version() >= this.newest.version()) {
 			this.newest = list;
 			this.listener.accept(list);
@@ -80,15 +81,15 @@
 	}
 
 	/**
-	 * Answer a peer that asks for the list.
-	 * @param request the peer's request
-	 * @return the reply
+	 * Creates the reply to a peer that requests the list.
+	 * @param request the request of the peer
+	 * @return the reply, without a list if the peer's list is up to date
 	 */
 	public Envelope.Builder createReply(HostsRequest request) {
-		HostList present = this.newest;
+		HostList current = this.newest;
 		HostsReply.Builder reply = HostsReply.newBuilder();
-		if (present.version() > request.getKnownVersion()) {
-			reply.setHostsJson(Json.write(present));
+		if (current.version() > request.getKnownVersion()) {
+			reply.setHostsJson(Json.write(current));
 		}
 		return Envelope.newBuilder().setHostsReply(reply);
 	}
--- a/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/node/NodeSettings.java
+++ b/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/node/NodeSettings.java
@@ -6,14 +6,15 @@
 import org.monsoonrelay.model.host.HostAddress;
 
 /**
- * Settings that every daemon has. Immutable.
+ * Settings common to all daemons. Immutable.
  *
- * @param name the process's name, for logs
- * @param failureDomain the failure domain it stands in
- * @param peerAddress where it listens for peers, {@code host:port}
- * @param platform where the platform listens, {@code host:port}
- * @param peers where the other processes listen for peers, {@code host:port} each
- * @param secret the cell's secret, which peers show each other
+ * @param name the name of the process in logs
+ * @param failureDomain the failure domain of the process
+ * @param peerAddress the address on which the process listens for peers,
+ * {@code host:port}
+ * @param platform the address of the platform, {@code host:port}
+ * @param peers the peer addresses of the other processes, {@code host:port} each
+ * @param secret the shared secret with which the peers of a cell authenticate
  */
 public record NodeSettings(String name, String failureDomain, String peerAddress, String platform, List<String> peers,
 		String secret) {
@@ -23,8 +24,8 @@
 	}
 
 	/**
-	 * Check the addresses.
-	 * @param addresses the check of the whole process's addresses
+	 * Validates the addresses of these settings.
+	 * @param addresses the check of all addresses of the process
 	 */
 	public void check(AddressCheck addresses) {
 		addresses.listens("/node/peerAddress", this.peerAddress).calls("/node/platform", this.platform);
@@ -42,8 +43,8 @@
 	}
 
 	/**
-	 * The other processes' addresses.
-	 * @return the addresses without this process's own
+	 * Returns the addresses of the other processes.
+	 * @return the peer addresses without the address of this process
 	 */
 	public List<HostAddress> peerAddresses() {
 		return this.peers.stream()
--- a/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/node/ProcessMetrics.java
+++ b/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/node/ProcessMetrics.java
@@ -10,8 +10,8 @@
 import org.monsoonrelay.logic.control.ControlTracker;
 
 /**
- * Metrics that every daemon has: the version in force and what the process costs.
- * Stateless and thread-safe.
+ * Metrics common to all daemons: the active control version, the resource usage of the
+ * process and the number of dropped log lines. Stateless and thread-safe.
  */
 public final class ProcessMetrics {
 
@@ -21,9 +21,9 @@
 	}
 
 	/**
-	 * Add the metrics.
-	 * @param metrics where to add them
-	 * @param tracker the version in force
+	 * Registers the metrics.
+	 * @param metrics the registry of the metrics
+	 * @param tracker provides the active control version
 	 */
 	public static void addTo(MetricRegistry metrics, ControlTracker tracker) {
 		gauge(metrics, "control.version", () -> tracker.activeState().head().version());
--- a/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/node/Shutdown.java
+++ b/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/node/Shutdown.java
@@ -3,8 +3,9 @@
 import java.util.concurrent.CountDownLatch;
 
 /**
- * Waits for a planned stop. The first SIGTERM runs the drain and ends the process with 0,
- * a second one ends it at once. Thread-safe.
+ * Waits for a graceful shutdown. The first SIGTERM or SIGINT starts the drain, after
+ * which the exit code is 0; a second signal ends the process immediately with exit code
+ * 1. Thread-safe.
  */
 public final class Shutdown {
 
@@ -13,26 +14,26 @@
 	private final CountDownLatch requested = new CountDownLatch(1);
 
 	/**
-	 * Block until SIGTERM or SIGINT, then drain.
-	 * @param drain ends the work in flight, within its own deadline
+	 * Blocks until SIGTERM or SIGINT, then drains the process.
+	 * @param drain completes or ends the work in flight within its own deadline
 	 * @return the exit code
 	 */
 	public int await(Runnable drain) {
-		sun.misc.Signal.handle(new sun.misc.Signal("TERM"), (signal) -> request());
-		sun.misc.Signal.handle(new sun.misc.Signal("INT"), (signal) -> request());
+		sun.misc.Signal.handle(new sun.misc.Signal("TERM"), (signal) -> handleSignal());
+		sun.misc.Signal.handle(new sun.misc.Signal("INT"), (signal) -> handleSignal());
 		try {
 			this.requested.await();
 		}
 		catch (InterruptedException ex) {
 			Thread.currentThread().interrupt();
 		}
-		LOGGER.log(System.Logger.Level.INFO, "stopping: work in flight is drained");
+		LOGGER.log(System.Logger.Level.INFO, "stopping: draining work in flight");
 		drain.run();
 		LOGGER.log(System.Logger.Level.INFO, "stopped");
 		return 0;
 	}
 
-	private void request() {
+	private void handleSignal() {
 		if (this.requested.getCount() == 0) {
 			Runtime.getRuntime().halt(1);
 		}
--- a/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/node/package-info.java
+++ b/monsoonrelay-adapters/src/main/java/org/monsoonrelay/adapters/node/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What every daemon does: follow the version in force and the host list, announce itself
- * to peers.
+ * Functions common to all daemons: following the control version and the host list,
+ * settings, process metrics and graceful shutdown.
  */
 package org.monsoonrelay.adapters.node;
