--- a/monsoonrelay-model/src/main/java/org/monsoonrelay/model/capacity/Resources.java
+++ b/monsoonrelay-model/src/main/java/org/monsoonrelay/model/capacity/Resources.java
@@ -1,18 +1,18 @@
 package org.monsoonrelay.model.capacity;
 
 /**
- * Amounts of the three resources a worker offers and a task asks for. Immutable and safe
- * to share between threads; no amount is ever negative.
+ * Amounts of processors, memory and accelerators that a worker offers or a task requires.
+ * Amounts are never negative. Immutable and thread-safe.
  *
- * @param processors processors, in the unit of the ledger that uses them: whole ones for
- * declared workloads, thousandths for submitted jobs
+ * @param processors processors; whole processors for declared workloads, thousandths of a
+ * processor for submitted jobs
  * @param memoryMiB memory in mebibytes
  * @param accelerators whole accelerators
  */
 public record Resources(int processors, long memoryMiB, int accelerators) {
 
 	/**
-	 * Nothing at all.
+	 * Zero of each resource.
 	 */
 	public static final Resources NONE = new Resources(0, 0, 0);
 
@@ -56,8 +56,8 @@
 	}
 
 	/**
-	 * Tell whether this amount covers another in every component.
-	 * @param other the amount asked for
+	 * Whether this amount covers another in every component.
+	 * @param other the required amount
 	 * @return {@code true} if each component is at least the other's
 	 */
 	public boolean covers(Resources other) {
@@ -66,9 +66,9 @@
 	}
 
 	/**
-	 * How many times this amount covers another.
-	 * @param other the amount asked for
-	 * @return the count, {@link Integer#MAX_VALUE} if the other amount is nothing
+	 * Number of times that another amount fits into this one.
+	 * @param other the required amount
+	 * @return the count, {@link Integer#MAX_VALUE} if the required amount is zero
 	 */
 	public int timesCovering(Resources other) {
 		long times = Integer.MAX_VALUE;
@@ -85,10 +85,10 @@
 	}
 
 	/**
-	 * Share of the scarcest resource that this amount is of a whole. A resource that the
-	 * whole does not have is left out.
-	 * @param whole the whole
-	 * @return between 0 and 1 if the whole covers this amount
+	 * Smallest share of any resource of a total that this amount has. Resources that the
+	 * total lacks are ignored.
+	 * @param whole the total amount
+	 * @return between 0 and 1 if the total covers this amount
 	 */
 	public double smallestShareOf(Resources whole) {
 		double share = Math.min(share(this.processors, whole.processors), share(this.memoryMiB, whole.memoryMiB));
@@ -96,9 +96,9 @@
 	}
 
 	/**
-	 * Share of the resource that this amount takes most of.
-	 * @param whole the whole
-	 * @return at least 0, more than 1 if the whole does not cover this amount
+	 * Dominant share: the largest share of any resource of a total that this amount has.
+	 * @param whole the total amount
+	 * @return at least 0, more than 1 if the total does not cover this amount
 	 */
 	public double dominantShareOf(Resources whole) {
 		double processorShare = (double) this.processors / Math.max(1, whole.processors);
@@ -108,8 +108,8 @@
 	}
 
 	/**
-	 * How many times this amount covers another.
-	 * @param size the other amount, not nothing
+	 * Number of times that a size fits into this amount.
+	 * @param size the size, not zero
 	 * @return the count
 	 */
 	public long fitCount(Resources size) {
@@ -118,11 +118,11 @@
 	}
 
 	/**
-	 * Tell whether taking a size away would leave accelerators that nothing can use,
-	 * because the processors or the memory beside them are taken.
-	 * @param size what is taken, covered by this amount
-	 * @param whole the whole that this amount is left of
-	 * @return {@code true} if the size asks for no accelerator and the free share of
+	 * Whether allocating a size would strand accelerators, because too few processors or
+	 * too little memory would be left to use them.
+	 * @param size size to allocate, covered by this amount
+	 * @param whole total capacity of which this amount is free
+	 * @return {@code true} if the size includes no accelerator and the free share of
 	 * processors or memory would fall below that of the accelerators
 	 */
 	public boolean wouldStrandAccelerators(Resources size, Resources whole) {
--- a/monsoonrelay-model/src/main/java/org/monsoonrelay/model/host/HostAddress.java
+++ b/monsoonrelay-model/src/main/java/org/monsoonrelay/model/host/HostAddress.java
@@ -17,8 +17,8 @@
 	}
 
 	/**
-	 * Read the form {@code host:port}.
-	 * @param text the form
+	 * Parse the form {@code host:port}.
+	 * @param text the text
 	 * @return the address
 	 * @throws IllegalArgumentException if the text has another form
 	 */
@@ -36,7 +36,7 @@
 	}
 
 	/**
-	 * The base of URLs at this address.
+	 * Base URL of this address.
 	 * @return the URL without a trailing slash
 	 */
 	public String url() {
--- a/monsoonrelay-model/src/main/java/org/monsoonrelay/model/host/HostKind.java
+++ b/monsoonrelay-model/src/main/java/org/monsoonrelay/model/host/HostKind.java
@@ -1,14 +1,14 @@
 package org.monsoonrelay.model.host;
 
 /**
- * What a host of the platform is for.
+ * Kind of a host of the platform.
  */
 public enum HostKind {
 
 	/** Runs tasks under leases. */
 	WORKER,
 
-	/** Serves callers' requests. */
+	/** Handles callers' requests. */
 	BACKEND_SERVER
 
 }
--- a/monsoonrelay-model/src/main/java/org/monsoonrelay/model/host/HostState.java
+++ b/monsoonrelay-model/src/main/java/org/monsoonrelay/model/host/HostState.java
@@ -1,14 +1,14 @@
 package org.monsoonrelay.model.host;
 
 /**
- * State of a host in the platform's host list, which lags.
+ * State of a host in the platform's host list, which may be out of date.
  */
 public enum HostState {
 
 	/** In service. */
 	LIVE,
 
-	/** Takes no new work and ends soon. */
+	/** Accepts no new work and will be removed soon. */
 	LEAVING
 
 }
--- a/monsoonrelay-model/src/main/java/org/monsoonrelay/model/host/package-info.java
+++ b/monsoonrelay-model/src/main/java/org/monsoonrelay/model/host/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Hosts as the platform's host list names them.
+ * Hosts of the platform, as listed in its host list.
  */
 package org.monsoonrelay.model.host;
--- a/monsoonrelay-model/src/main/java/org/monsoonrelay/model/job/AttemptId.java
+++ b/monsoonrelay-model/src/main/java/org/monsoonrelay/model/job/AttemptId.java
@@ -1,8 +1,9 @@
 package org.monsoonrelay.model.job;
 
 /**
- * One attempt at one task of a job. Immutable; unique over the life of the cell because
- * the attempt number only grows and carries the epoch of the queue's owner.
+ * Identity of one attempt to run a task of a job. Unique over the lifetime of the cell,
+ * because attempt numbers only increase and contain the epoch of the queue's owner.
+ * Immutable.
  *
  * @param job the job
  * @param task index of the task, from 0
@@ -13,7 +14,7 @@
 	private static final char SEPARATOR = '/';
 
 	/**
-	 * Read the form that {@link #toString()} gives.
+	 * Parse the form that {@link #toString()} returns.
 	 * @param text the form {@code name@run/task/attempt}
 	 * @return the identity
 	 * @throws IllegalArgumentException if the text has another form
--- a/monsoonrelay-model/src/main/java/org/monsoonrelay/model/job/Gang.java
+++ b/monsoonrelay-model/src/main/java/org/monsoonrelay/model/job/Gang.java
@@ -6,10 +6,10 @@
 import java.util.Set;
 
 /**
- * One try to hold room for all tasks of a job that need each other. Invariants: the
- * attempts start together or not at all, and never once the time to start by has come or
- * the try was given up; a try that was given up stays so. Not thread-safe: confined to
- * the control thread of the queue's owner.
+ * One attempt to reserve capacity for all tasks of a gang. Invariants: the task attempts
+ * start together or not at all, and never after the start deadline or after the
+ * reservation was abandoned; an abandoned reservation stays abandoned. Not thread-safe:
+ * confined to the control thread of the queue's owner.
  */
 public final class Gang {
 
@@ -25,7 +25,7 @@
 	}
 
 	/**
-	 * Note that room is held for an attempt. Idempotent.
+	 * Record that capacity is held for an attempt. Idempotent.
 	 * @param attempt the attempt
 	 */
 	public void markHeld(AttemptId attempt) {
@@ -33,10 +33,12 @@
 	}
 
 	/**
-	 * Tell whether all attempts may be started now. Gives the try up if not, because room
-	 * that was held so far may lapse or is wanted by another gang.
+	 * Check whether all attempts may be started now, and abandon the reservation
+	 * otherwise, because the capacity held so far may expire or be needed by another
+	 * gang.
 	 * @param now the current time
-	 * @return {@code true} if room is held for all and the time has not come
+	 * @return {@code true} if capacity is held for all attempts and the start deadline
+	 * has not been reached
 	 */
 	public boolean startOrAbandon(Instant now) {
 		if (!this.missing.isEmpty() || !now.isBefore(this.startBy)) {
--- a/monsoonrelay-model/src/main/java/org/monsoonrelay/model/job/Job.java
+++ b/monsoonrelay-model/src/main/java/org/monsoonrelay/model/job/Job.java
@@ -11,10 +11,11 @@
 
 /**
  * Progress of one declared workload. Invariants: a task has at most one open attempt;
- * attempt numbers only grow; a message about any attempt but the last changes nothing; a
- * final state is never left, but by a stopped service's tasks when a later text names the
- * service; a task that must run once gets no new attempt while an earlier one may still
- * run. Not thread-safe: confined to the control thread of the queue's owner.
+ * attempt numbers only increase; messages about superseded attempts are ignored; a final
+ * state is never left, except by the tasks of a stopped service when a later
+ * configuration declares the service; a run-once task gets no new attempt while an
+ * earlier one may still run. Not thread-safe: confined to the control thread of the
+ * queue's owner.
  */
 public final class Job {
 
@@ -64,18 +65,18 @@
 	}
 
 	/**
-	 * Indexes of the first tasks that may be given a new attempt now.
+	 * The first tasks for which a new attempt may be opened now.
 	 * @param now the current time
-	 * @param limit the most to return
-	 * @return the indexes, ascending
+	 * @param limit maximum number of tasks to return
+	 * @return the indexes of the tasks, ascending
 	 */
 	public List<Integer> placeableTasks(Instant now, int limit) {
 		return this.tasks.dueTasks(now, limit);
 	}
 
 	/**
-	 * Open a new attempt at a waiting task.
-	 * @param index the task
+	 * Open a new attempt for a waiting task.
+	 * @param index index of the task
 	 * @return the attempt
 	 * @throws IllegalStateException if the task has an open attempt or is final
 	 */
@@ -90,7 +91,7 @@
 	}
 
 	/**
-	 * Note where an attempt holds its reservation.
+	 * Record the worker that holds the reservation of an attempt.
 	 * @param attempt the attempt
 	 * @param worker the worker
 	 * @param incarnation the worker's incarnation
@@ -98,8 +99,8 @@
 	 */
 	public boolean recordReservation(AttemptId attempt, WorkerId worker, String incarnation) {
 		Task task = taskOf(attempt);
-		boolean asked = task.state() == TaskState.RESERVED || task.state() == TaskState.STARTING;
-		if (this.retired || task.attempt() != attempt.attempt() || !asked) {
+		boolean isPlacing = task.state() == TaskState.RESERVED || task.state() == TaskState.STARTING;
+		if (this.retired || task.attempt() != attempt.attempt() || !isPlacing) {
 			return false;
 		}
 		task.setPlacement(worker.value(), incarnation);
@@ -107,9 +108,9 @@
 	}
 
 	/**
-	 * Let an attempt be started. From here on it may run.
+	 * Mark an attempt as starting. From now on it may run.
 	 * @param attempt the attempt
-	 * @return {@code true} if it is the open one and was reserved
+	 * @return {@code true} if the attempt is still the open one and was reserved
 	 */
 	public boolean markStarting(AttemptId attempt) {
 		Task task = taskOf(attempt);
@@ -121,9 +122,9 @@
 	}
 
 	/**
-	 * Tell whether an attempt may be started now.
+	 * Whether an attempt may be started now.
 	 * @param attempt the attempt
-	 * @return {@code true} if it is the open one and nothing has ended it since
+	 * @return {@code true} if the attempt is still the open one and is starting
 	 */
 	public boolean isStarting(AttemptId attempt) {
 		Task task = taskOf(attempt);
@@ -131,10 +132,9 @@
 	}
 
 	/**
-	 * A worker runs the attempt. A message that comes after the attempt's end changes
-	 * nothing.
+	 * Record that a worker runs the attempt. Ignored if the attempt has already ended.
 	 * @param attempt the attempt
-	 * @param worker the worker that says so
+	 * @param worker the worker that reported the run
 	 */
 	public void markRunning(AttemptId attempt, WorkerId worker) {
 		Task task = taskOf(attempt);
@@ -146,7 +146,7 @@
 	}
 
 	/**
-	 * The attempt ended well. Idempotent.
+	 * Record that the attempt completed successfully. Idempotent.
 	 * @param attempt the attempt
 	 * @return {@code true} if the task's state changed
 	 */
@@ -161,7 +161,7 @@
 	}
 
 	/**
-	 * The attempt ended badly, for certain.
+	 * Record that the attempt definitely failed.
 	 * @param attempt the attempt
 	 * @param now the current time, from which the backoff counts
 	 * @return {@code true} if the task's state changed
@@ -178,10 +178,10 @@
 	}
 
 	/**
-	 * The attempt does not run and never will: it was not started, or its end is
-	 * confirmed by the worker, by the worker's new incarnation or by the host list.
+	 * Record that the attempt does not run and never will: it was not started, or its end
+	 * is confirmed by the worker, by the worker's new incarnation or by the host list.
 	 * @param attempt the attempt
-	 * @return {@code true} if the task waits again
+	 * @return {@code true} if the task is waiting again
 	 */
 	public boolean markNotRunning(AttemptId attempt) {
 		Task task = taskOf(attempt);
@@ -197,10 +197,11 @@
 	}
 
 	/**
-	 * The lease of the attempt's worker lapsed, so nothing is known of it. A repeatable
-	 * task waits to be placed again; a task that must run once stays in doubt.
+	 * Record that the lease of the attempt's worker expired, so that its state is
+	 * unknown. A repeatable task waits to be placed again; a run-once task becomes in
+	 * doubt.
 	 * @param attempt the attempt
-	 * @return {@code true} if the task waits again
+	 * @return {@code true} if the task is waiting again
 	 */
 	public boolean markLeaseExpired(AttemptId attempt) {
 		Task task = taskOf(attempt);
@@ -224,11 +225,11 @@
 	}
 
 	/**
-	 * Take in a changed declaration of the same workload, which may grow or shrink. A
-	 * task that is no longer declared keeps its attempt until its end is known, and one
-	 * that may run unseen is in doubt once it must not run twice.
+	 * Apply a changed declaration, which may have more or fewer tasks. A task that is no
+	 * longer declared keeps its attempt until its end is confirmed. If the workload
+	 * becomes run-once, tasks with an attempt that may still run become in doubt.
 	 * @param declared the declaration in force
-	 * @return the attempts that are no longer declared and have to be stopped
+	 * @return the open attempts of undeclared tasks, which have to be stopped
 	 */
 	public List<AttemptId> updateDeclaration(Workload declared) {
 		this.workload = declared;
@@ -282,8 +283,8 @@
 	}
 
 	/**
-	 * Tell whether nothing more happens to the job.
-	 * @return {@code true} if all tasks are final
+	 * Whether all declared tasks are in a final state.
+	 * @return {@code true} if no task is started again
 	 */
 	public boolean isFinal() {
 		return count(TaskState.FINISHED) + count(TaskState.FAILED) + count(TaskState.CANCELLED) == this.tasks
@@ -291,7 +292,7 @@
 	}
 
 	/**
-	 * Tell whether work that depends on this job may start.
+	 * Whether workloads that depend on this job may start.
 	 * @return {@code true} if all tasks finished, or all replicas of a service run
 	 */
 	public boolean satisfiesDependents() {
@@ -300,7 +301,7 @@
 	}
 
 	/**
-	 * Note when the job finished, unless it is noted already or has not finished.
+	 * Record the time at which the job finished, once all tasks have finished.
 	 * @param now the current time
 	 */
 	public void recordFinish(Instant now) {
@@ -310,23 +311,23 @@
 	}
 
 	/**
-	 * When the queue's owner learnt that all tasks had finished.
-	 * @return the instant, empty before
+	 * Time at which the queue's owner detected that all tasks had finished.
+	 * @return the time, empty before
 	 */
 	public Optional<Instant> finishedAt() {
 		return Optional.ofNullable(this.finishedAt);
 	}
 
 	/**
-	 * Another object stands for the job from now on, because it was loaded anew or its
-	 * queue has another owner. Answers still under way to this object start nothing.
+	 * Retire this object because another one represents the job, which was reloaded or
+	 * whose queue has a new owner. Pending answers start nothing from now on.
 	 */
 	public void retire() {
 		this.retired = true;
 	}
 
 	/**
-	 * Tell whether another object stands for the job.
+	 * Whether another object represents the job.
 	 * @return {@code true} after {@link #retire()}
 	 */
 	public boolean isRetired() {
@@ -334,17 +335,17 @@
 	}
 
 	/**
-	 * Open attempts only above all that another object opened for the same job, so that
-	 * no two attempts share a number.
-	 * @param former the other object
+	 * Open only attempts with higher numbers than those of the object that represented
+	 * the job before, so that no two attempts share a number.
+	 * @param previous the previous object
 	 */
-	public void continueAttemptNumbersOf(Job former) {
-		long last = former.tasks.allTasks().mapToLong(Task::attempt).max().orElse(0);
+	public void continueAttemptNumbersOf(Job previous) {
+		long last = previous.tasks.allTasks().mapToLong(Task::attempt).max().orElse(0);
 		this.minimumAttempt = Math.max(this.minimumAttempt, last + 1);
 	}
 
 	/**
-	 * Version of the host list that the writer of the loaded record knew.
+	 * Version of the host list known to the writer of the loaded record.
 	 * @return the version
 	 */
 	public long hostsVersion() {
@@ -352,9 +353,9 @@
 	}
 
 	/**
-	 * Durable form of the progress.
+	 * Convert the progress to its durable form.
 	 * @param writeId identity of the write
-	 * @param knownHosts version of the host list known now
+	 * @param knownHosts version of the host list that is known now
 	 * @return the record
 	 */
 	public JobRecord toRecord(String writeId, long knownHosts) {
@@ -390,8 +391,8 @@
 	}
 
 	/**
-	 * The tasks in their durable form, for reports.
-	 * @return all declared tasks in order
+	 * The declared tasks in their durable form, for status reports.
+	 * @return the tasks in order
 	 */
 	public List<TaskRecord> tasks() {
 		return this.tasks.declaredTasks().map(Task::toRecord).toList();
--- a/monsoonrelay-model/src/main/java/org/monsoonrelay/model/job/JobId.java
+++ b/monsoonrelay-model/src/main/java/org/monsoonrelay/model/job/JobId.java
@@ -1,8 +1,8 @@
 package org.monsoonrelay.model.job;
 
 /**
- * Identity of one run of a declared workload. A batch run or job is named with its run
- * label, so that the same name with a new label is new work. Immutable.
+ * Identity of one run of a declared workload. It includes the run label, so that the same
+ * name with a new label is a new run. Immutable.
  *
  * @param name the declared name
  * @param run the declared run label; {@code service} for services
@@ -17,7 +17,7 @@
 	private static final char SEPARATOR = '@';
 
 	/**
-	 * Read the form that {@link #toString()} gives.
+	 * Parse the form that {@link #toString()} returns.
 	 * @param text the form {@code name@run}
 	 * @return the identity
 	 * @throws IllegalArgumentException if the text has no separator
--- a/monsoonrelay-model/src/main/java/org/monsoonrelay/model/job/Task.java
+++ b/monsoonrelay-model/src/main/java/org/monsoonrelay/model/job/Task.java
@@ -4,8 +4,8 @@
 import java.time.Instant;
 
 /**
- * One task of a job. Invariant: attempt numbers only grow. Its state is changed through
- * {@link TaskList} alone, which counts states. Not thread-safe.
+ * One task of a job. Invariant: attempt numbers only increase. The state is only changed
+ * through {@link TaskList}, which counts the tasks in each state. Not thread-safe.
  */
 final class Task {
 
@@ -13,7 +13,7 @@
 
 	private static final int MAXIMUM_BACKOFF_DOUBLINGS = 6;
 
-	private static final Duration FIRST_BACKOFF = Duration.ofMillis(500);
+	private static final Duration INITIAL_BACKOFF = Duration.ofMillis(500);
 
 	private final int index;
 
@@ -45,7 +45,7 @@
 	}
 
 	/**
-	 * Go on to an attempt with a higher number.
+	 * Advance to an attempt with a higher number.
 	 * @param number the attempt's number
 	 */
 	void advanceTo(long number) {
@@ -64,20 +64,20 @@
 	}
 
 	/**
-	 * Note that the last attempt does not run any more, for certain.
+	 * Record that the latest attempt has definitely ended.
 	 */
 	void markEnded() {
 		this.lastEndedAttempt = this.attempt;
 	}
 
 	/**
-	 * Note that the last attempt ended badly. The next one waits, twice as long with each
-	 * failure.
+	 * Record that the latest attempt failed. The backoff before the next attempt doubles
+	 * with each failure.
 	 * @param now the current time, from which the backoff counts
 	 */
 	void recordFailure(Instant now) {
 		int doublings = Math.min(this.failures, MAXIMUM_BACKOFF_DOUBLINGS);
-		this.notBefore = now.plus(FIRST_BACKOFF.multipliedBy(1L << doublings));
+		this.notBefore = now.plus(INITIAL_BACKOFF.multipliedBy(1L << doublings));
 		this.failures++;
 		markEnded();
 	}
@@ -87,10 +87,11 @@
 	}
 
 	/**
-	 * Tell whether a message is about the last attempt and can still change something. An
-	 * attempt with a higher number was opened by a later owner and becomes the last.
-	 * @param number number of the attempt that the message is about
-	 * @return {@code false} if the message changes nothing
+	 * Whether a message about an attempt is still relevant: it concerns the latest
+	 * attempt, and the task is not final. An attempt with a higher number was opened by a
+	 * later owner and becomes the latest one.
+	 * @param number number of the attempt that the message refers to
+	 * @return {@code false} if the message has to be ignored
 	 */
 	boolean acceptsMessageFor(long number) {
 		if (number < this.attempt || hasEnded(number) || this.state.isFinal()) {
@@ -103,8 +104,8 @@
 	}
 
 	/**
-	 * Tell whether the last attempt may run somewhere although the task waits.
-	 * @return {@code false} if there was none, or its end is certain
+	 * Whether the latest attempt may still run although the task is waiting.
+	 * @return {@code false} if there was no attempt or its end is confirmed
 	 */
 	boolean mayRunUnconfirmed() {
 		return this.state == TaskState.WAITING && this.attempt > this.lastEndedAttempt;
--- a/monsoonrelay-model/src/main/java/org/monsoonrelay/model/job/TaskList.java
+++ b/monsoonrelay-model/src/main/java/org/monsoonrelay/model/job/TaskList.java
@@ -10,8 +10,9 @@
 import java.util.stream.Stream;
 
 /**
- * The tasks of a job with counts of their states, so that no round of scheduling walks
- * over all tasks. Invariant: the counts are those of the declared tasks. Not thread-safe.
+ * The tasks of a job with the number of tasks in each state, so that a scheduling round
+ * does not have to iterate over all tasks. Invariant: the counts include exactly the
+ * declared tasks. Not thread-safe.
  */
 final class TaskList {
 
@@ -30,7 +31,7 @@
 	}
 
 	/**
-	 * Change the number of declared tasks. Tasks beyond it are kept.
+	 * Change the number of declared tasks. Tasks beyond this number are kept.
 	 * @param number the number
 	 */
 	void setDeclaredCount(int number) {
@@ -76,8 +77,8 @@
 	}
 
 	/**
-	 * A task, also one beyond those declared.
-	 * @param index its index
+	 * Return a task, which may be beyond the declared ones.
+	 * @param index index of the task
 	 * @return the task
 	 */
 	Task get(int index) {
@@ -86,10 +87,10 @@
 	}
 
 	/**
-	 * Indexes of declared tasks that wait and whose backoff is over.
+	 * Declared tasks that are waiting and whose backoff has ended.
 	 * @param now the current time
-	 * @param limit the most to return
-	 * @return the indexes, ascending
+	 * @param limit maximum number of tasks to return
+	 * @return the indexes of the tasks, ascending
 	 */
 	List<Integer> dueTasks(Instant now, int limit) {
 		List<Integer> due = new ArrayList<>();
--- a/monsoonrelay-model/src/main/java/org/monsoonrelay/model/job/TaskState.java
+++ b/monsoonrelay-model/src/main/java/org/monsoonrelay/model/job/TaskState.java
@@ -5,44 +5,45 @@
  */
 public enum TaskState {
 
-	/** Has no open attempt and waits to be placed. */
+	/** The task has no open attempt and waits to be placed. */
 	WAITING,
 
-	/** An attempt is open and holds, or asks for, a reservation; nothing was started. */
+	/** An open attempt holds or requests a reservation; nothing was started. */
 	RESERVED,
 
 	/** The attempt is recorded and may have been started. */
 	STARTING,
 
-	/** A worker said that it runs. */
+	/** A worker has reported that the attempt runs. */
 	RUNNING,
 
 	/**
-	 * The worker has gone silent and the task may run on; only a task that must run once
-	 * is ever here.
+	 * The worker is unresponsive and may still run the task. Only run-once tasks enter
+	 * this state.
 	 */
 	IN_DOUBT,
 
-	/** Ended well. */
+	/** Completed successfully. */
 	FINISHED,
 
-	/** Ended badly too often. */
+	/** Failed permanently after too many failed attempts. */
 	FAILED,
 
 	/** Cancelled or stopped by an operator. */
 	CANCELLED;
 
 	/**
-	 * Tell whether nothing more happens to the task.
-	 * @return {@code true} for the final states
+	 * Whether the state is final.
+	 * @return {@code true} if the task is not started again
 	 */
 	public boolean isFinal() {
 		return this == FINISHED || this == FAILED || this == CANCELLED;
 	}
 
 	/**
-	 * Tell whether a worker may be running the task.
-	 * @return {@code true} if an attempt may have been started and has not ended
+	 * Whether a worker may be running the task.
+	 * @return {@code true} if an attempt may have been started and is not known to have
+	 * ended
 	 */
 	public boolean mayBeRunning() {
 		return this == STARTING || this == RUNNING || this == IN_DOUBT;
--- a/monsoonrelay-model/src/main/java/org/monsoonrelay/model/job/package-info.java
+++ b/monsoonrelay-model/src/main/java/org/monsoonrelay/model/job/package-info.java
@@ -1,4 +1,4 @@
 /**
- * The job aggregate: tasks of one declared workload and their attempts.
+ * Jobs: the tasks of a declared workload and their attempts.
  */
 package org.monsoonrelay.model.job;
--- a/monsoonrelay-model/src/main/java/org/monsoonrelay/model/membership/Ownership.java
+++ b/monsoonrelay-model/src/main/java/org/monsoonrelay/model/membership/Ownership.java
@@ -1,8 +1,8 @@
 package org.monsoonrelay.model.membership;
 
 /**
- * Row that says which session owns a rack or a team's queue. The epoch grows by one with
- * each change of owner, so that a former owner can be fenced off. Immutable.
+ * Row that records which session owns a rack or a team's queue. The epoch increases by
+ * one with each change of owner, so that a former owner can be fenced. Immutable.
  *
  * @param session the owner's session, empty if released
  * @param epoch the epoch of this ownership
@@ -10,12 +10,12 @@
 public record Ownership(String session, long epoch) {
 
 	/**
-	 * Never owned.
+	 * Ownership of a rack or queue that was never owned.
 	 */
 	public static final Ownership NONE = new Ownership("", 0);
 
 	/**
-	 * The ownership that follows when another session takes over.
+	 * Ownership after another session has taken over.
 	 * @param newSession the new owner's session
 	 * @return the ownership with the next epoch
 	 */
--- a/monsoonrelay-model/src/main/java/org/monsoonrelay/model/membership/package-info.java
+++ b/monsoonrelay-model/src/main/java/org/monsoonrelay/model/membership/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Sessions of scheduler instances and the ownership that hangs on them.
+ * Sessions of scheduler instances and the ownership that is bound to them.
  */
 package org.monsoonrelay.model.membership;
--- a/monsoonrelay-model/src/main/java/org/monsoonrelay/model/request/NotRunReason.java
+++ b/monsoonrelay-model/src/main/java/org/monsoonrelay/model/request/NotRunReason.java
@@ -5,7 +5,7 @@
  */
 public enum NotRunReason {
 
-	/** The text in force declares no such service. */
+	/** The configuration in force declares no such service. */
 	UNKNOWN_SERVICE,
 
 	/** The service has no such operation. */
@@ -14,16 +14,16 @@
 	/** The request itself is malformed. */
 	INVALID_REQUEST,
 
-	/** The deadline had passed, or would have before a slot came free. */
+	/** The deadline has passed, or would pass before a slot becomes free. */
 	DEADLINE,
 
-	/** All slots are taken and more urgent requests wait. */
+	/** All slots are in use and more urgent requests are waiting. */
 	OVERLOAD,
 
-	/** No backend server of the service can be reached. */
+	/** No backend server of the service is reachable. */
 	NO_BACKEND_SERVER,
 
-	/** The platform's table cannot be reached, and the operation may not be repeated. */
+	/** The platform's table is unreachable, and the operation is not repeatable. */
 	PLATFORM_UNAVAILABLE,
 
 	/** The idempotency key belongs to another request. */
--- a/monsoonrelay-model/src/main/java/org/monsoonrelay/model/request/RequestOutcome.java
+++ b/monsoonrelay-model/src/main/java/org/monsoonrelay/model/request/RequestOutcome.java
@@ -9,37 +9,37 @@
 public sealed interface RequestOutcome {
 
 	/**
-	 * A backend server answered and the answer is whole.
+	 * A backend server returned a complete response.
 	 *
-	 * @param status the backend server's status
-	 * @param headers the backend server's headers, in order
-	 * @param body the whole body
+	 * @param status HTTP status of the response
+	 * @param headers headers of the response, in order
+	 * @param body the complete body
 	 */
 	record Answered(int status, List<HeaderLine> headers, byte[] body) implements RequestOutcome {
 
 	}
 
 	/**
-	 * No backend server has run the request, and this is certain.
+	 * It is certain that no backend server has run the request.
 	 *
 	 * @param reason why it was not run
-	 * @param retryAfter how long the caller should wait before it asks again
+	 * @param retryAfter how long the caller should wait before a retry
 	 */
 	record NotRun(NotRunReason reason, Duration retryAfter) implements RequestOutcome {
 
 	}
 
 	/**
-	 * A backend server may have run the request.
+	 * It is unknown whether a backend server has run the request.
 	 *
-	 * @param detail what is known
+	 * @param detail description of the failure
 	 */
 	record Unknown(String detail) implements RequestOutcome {
 
 	}
 
 	/**
-	 * One header of an answer.
+	 * One header of a response.
 	 *
 	 * @param name the header's name
 	 * @param value the header's value
--- a/monsoonrelay-model/src/main/java/org/monsoonrelay/model/request/TrafficClass.java
+++ b/monsoonrelay-model/src/main/java/org/monsoonrelay/model/request/TrafficClass.java
@@ -1,21 +1,21 @@
 package org.monsoonrelay.model.request;
 
 /**
- * Class of a caller's request, the most urgent first. Under overload the last class is
- * shed first.
+ * Traffic class of a caller's request, in descending order of urgency. Under overload,
+ * the requests of the last class are shed first.
  */
 public enum TrafficClass {
 
-	/** A guest stands at the desk. */
+	/** Requests from the front desk, where a guest is present. */
 	DESK,
 
-	/** A person waits at the booking app. */
+	/** Interactive requests from the booking app. */
 	APP,
 
-	/** Head office. */
+	/** Requests from the head office. */
 	OFFICE,
 
-	/** Programs that can come back later. */
+	/** Requests from programs that can retry later. */
 	BATCH
 
 }
--- a/monsoonrelay-model/src/main/java/org/monsoonrelay/model/request/package-info.java
+++ b/monsoonrelay-model/src/main/java/org/monsoonrelay/model/request/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Outcomes of a caller's request.
+ * Traffic classes and outcomes of callers' requests.
  */
 package org.monsoonrelay.model.request;
--- a/monsoonrelay-model/src/main/java/org/monsoonrelay/model/worker/Worker.java
+++ b/monsoonrelay-model/src/main/java/org/monsoonrelay/model/worker/Worker.java
@@ -14,11 +14,11 @@
 import org.monsoonrelay.model.job.JobId;
 
 /**
- * What one worker has committed. Invariant: the sum of reservations and grants never
- * exceeds the capacity, in any component and under any order of calls; a call that would
- * break this is refused and changes nothing. A worker accepts no commitment before its
- * first report, because only the report tells what already runs there. Not thread-safe:
- * confined to the control thread of the rack's owner.
+ * Committed capacity of one worker. Invariant: new reservations never raise the sum of
+ * reservations and grants above the capacity, in any component and under any order of
+ * calls; a call that would do so is refused and changes nothing. A worker accepts no
+ * commitment before its first report, because the attempts that already run on it are not
+ * known before. Not thread-safe: confined to the control thread of the rack's owner.
  */
 public final class Worker {
 
@@ -46,11 +46,11 @@
 	}
 
 	/**
-	 * Reserve room for an attempt until a deadline.
+	 * Reserve capacity for an attempt until a deadline.
 	 * @param attempt the attempt
-	 * @param size what the task asks for
-	 * @param deadline when the reservation lapses unless it is granted before
-	 * @return {@code true} if the room is held; {@code false} if nothing changed
+	 * @param size resources that the task requires
+	 * @param deadline when the reservation expires unless it is granted before
+	 * @return {@code true} if the capacity is held; {@code false} if nothing changed
 	 */
 	public boolean reserve(AttemptId attempt, Resources size, Instant deadline) {
 		if (this.commitments.containsKey(attempt)) {
@@ -64,9 +64,9 @@
 	}
 
 	/**
-	 * Turn a reservation into a grant that stays until it is released.
+	 * Convert a reservation into a grant, which is held until it is released.
 	 * @param attempt the attempt
-	 * @return {@code true} if a reservation or grant was there
+	 * @return {@code true} if the attempt had a reservation or grant
 	 */
 	public boolean grant(AttemptId attempt) {
 		Commitment held = this.commitments.get(attempt);
@@ -78,7 +78,7 @@
 	}
 
 	/**
-	 * Give back what an attempt holds. Idempotent.
+	 * Release the capacity that an attempt holds. Idempotent.
 	 * @param attempt the attempt
 	 */
 	public void release(AttemptId attempt) {
@@ -90,28 +90,28 @@
 	}
 
 	/**
-	 * Release the reservations whose deadline has come.
+	 * Release the reservations whose deadline has passed.
 	 * @param now the current time
-	 * @return the attempts released
+	 * @return the attempts whose reservations were released
 	 */
 	public List<AttemptId> expireReservations(Instant now) {
-		List<AttemptId> lapsed = this.commitments.entrySet()
+		List<AttemptId> expired = this.commitments.entrySet()
 			.stream()
 			.filter((entry) -> entry.getValue().hasExpired(now))
 			.map(Map.Entry::getKey)
 			.toList();
-		lapsed.forEach(this::release);
-		return lapsed;
+		expired.forEach(this::release);
+		return expired;
 	}
 
 	/**
-	 * Take in the worker's own word of what runs there. Running attempts that are not
-	 * known yet are adopted as grants, with the size the worker names. A worker that runs
-	 * more than its capacity keeps refusing new work until it has drained. A late report
-	 * of an earlier incarnation changes nothing.
-	 * @param reportedIncarnation the worker's incarnation
-	 * @param running sizes of the attempts that run there
-	 * @return attempts granted here under an earlier incarnation, which the worker has
+	 * Apply a worker's report of the attempts that it runs. They are recorded as grants
+	 * of the reported size, also if they were not known before. A worker that runs more
+	 * than its capacity accepts no new work until enough of it has ended. A late report
+	 * of an earlier incarnation is ignored.
+	 * @param reportedIncarnation incarnation of the worker
+	 * @param running sizes of the attempts that run on the worker
+	 * @return the attempts committed under an earlier incarnation that the worker has
 	 * lost
 	 */
 	public List<AttemptId> applyReport(String reportedIncarnation, Map<AttemptId, Resources> running) {
@@ -131,25 +131,26 @@
 	}
 
 	/**
-	 * Tell whether new work of a size can be committed now.
-	 * @param size what the task asks for
-	 * @return {@code true} if there is room and the worker takes new work
+	 * Whether new work of a size can be committed now.
+	 * @param size resources that the task requires
+	 * @return {@code true} if the free capacity suffices and the worker accepts new work
 	 */
 	public boolean canAccept(Resources size) {
 		return this.reported && !this.leaving && isWithinCapacity() && freeCapacity().covers(size);
 	}
 
 	/**
-	 * Mark the worker as leaving: what runs goes on, nothing new is committed.
-	 * @param isLeaving whether it leaves
+	 * Set whether the worker is leaving. Running attempts continue on a leaving worker,
+	 * but nothing new is committed.
+	 * @param isLeaving whether the worker is leaving
 	 */
 	public void setLeaving(boolean isLeaving) {
 		this.leaving = isLeaving;
 	}
 
 	/**
-	 * What is left of the capacity.
-	 * @return the room left, nothing if the worker runs more than its capacity
+	 * Capacity that is not committed.
+	 * @return the free capacity, zero if the worker runs more than its capacity
 	 */
 	public Resources freeCapacity() {
 		return isWithinCapacity() ? this.capacity.minus(this.committed) : Resources.NONE;
@@ -195,8 +196,8 @@
 	}
 
 	/**
-	 * The attempts that hold a reservation or a grant.
-	 * @return a copy
+	 * Attempts that hold a reservation or a grant.
+	 * @return a copy of the attempts
 	 */
 	public Collection<AttemptId> attempts() {
 		return List.copyOf(this.commitments.keySet());
@@ -212,9 +213,9 @@
 	}
 
 	/**
-	 * Tell whether an attempt holds a reservation or a grant.
+	 * Whether an attempt holds a reservation or a grant.
 	 * @param attempt the attempt
-	 * @return {@code true} if it does
+	 * @return {@code true} if it holds one
 	 */
 	public boolean hasCommitment(AttemptId attempt) {
 		return this.commitments.containsKey(attempt);
--- a/monsoonrelay-model/src/main/java/org/monsoonrelay/model/worker/WorkerId.java
+++ b/monsoonrelay-model/src/main/java/org/monsoonrelay/model/worker/WorkerId.java
@@ -1,9 +1,9 @@
 package org.monsoonrelay.model.worker;
 
 /**
- * Name of a worker, stable over its restarts. Immutable.
+ * Name of a worker, which stays the same across restarts. Immutable.
  *
- * @param value the name in the platform's host list
+ * @param value name in the platform's host list
  */
 public record WorkerId(String value) implements Comparable<WorkerId> {
 
--- a/monsoonrelay-model/src/main/java/org/monsoonrelay/model/worker/package-info.java
+++ b/monsoonrelay-model/src/main/java/org/monsoonrelay/model/worker/package-info.java
@@ -1,4 +1,4 @@
 /**
- * The worker aggregate: what one host has granted and reserved.
+ * Workers: the reservations and grants of one host that runs tasks.
  */
 package org.monsoonrelay.model.worker;
--- a/monsoonrelay-model/src/test/java/org/monsoonrelay/model/job/JobFinishTests.java
+++ b/monsoonrelay-model/src/test/java/org/monsoonrelay/model/job/JobFinishTests.java
@@ -20,19 +20,19 @@
 	private final Job job = new Job(this.roster, JobRecord.NONE, 1, START);
 
 	@Test
-	void isNotedOnceWhenTheLastTaskFinishedAndOutlastsTheOwner() {
+	void isRecordedOnceWhenTheLastTaskFinishesAndSurvivesAChangeOfOwner() {
 		finish(0, START.plusSeconds(1));
 		assertThat(this.job.finishedAt()).isEmpty();
 		finish(1, START.plusSeconds(2));
 		this.job.recordFinish(START.plusSeconds(3));
-		Job taken = new Job(this.roster, this.job.toRecord("w", 1), 2, START.plusSeconds(9));
-		taken.recordFinish(START.plusSeconds(9));
+		Job reloaded = new Job(this.roster, this.job.toRecord("w", 1), 2, START.plusSeconds(9));
+		reloaded.recordFinish(START.plusSeconds(9));
 
-		assertThat(taken.finishedAt()).contains(START.plusSeconds(2));
+		assertThat(reloaded.finishedAt()).contains(START.plusSeconds(2));
 	}
 
 	@Test
-	void cancelledJobNeverFinished() {
+	void isNeverRecordedForACancelledJob() {
 		finish(0, START.plusSeconds(1));
 		this.job.cancel();
 		this.job.recordFinish(START.plusSeconds(2));
--- a/monsoonrelay-model/src/test/java/org/monsoonrelay/model/job/JobRestartTests.java
+++ b/monsoonrelay-model/src/test/java/org/monsoonrelay/model/job/JobRestartTests.java
@@ -25,7 +25,7 @@
 	}
 
 	@Test
-	void stoppedServiceRunsAgainUnderALaterTextWithHigherAttempts() {
+	void stoppedServiceRestartsWithHigherAttemptsAfterALaterConfiguration() {
 		Job service = stopped(WorkloadKind.SERVICE);
 		long before = service.tasks().get(0).attempt();
 		service.updateDeclaration(workload(WorkloadKind.SERVICE));
@@ -35,7 +35,7 @@
 	}
 
 	@Test
-	void stoppedServiceRunsAgainUnderALaterOwner() {
+	void stoppedServiceRestartsUnderANewOwner() {
 		JobRecord record = stopped(WorkloadKind.SERVICE).toRecord("w", 0);
 
 		assertThat(new Job(workload(WorkloadKind.SERVICE), record, 2, Instant.EPOCH).placeableTasks(Instant.EPOCH,
--- a/monsoonrelay-model/src/test/java/org/monsoonrelay/model/job/JobTests.java
+++ b/monsoonrelay-model/src/test/java/org/monsoonrelay/model/job/JobTests.java
@@ -37,65 +37,66 @@
 	class UnderAnyOrderDuplicatesAndLossesOfMessages {
 
 		@Property(seed = "1", tries = 5000)
-		void aTaskThatMustRunOnceIsNeverPlacedWhileAnEarlierAttemptMayRun(
+		void aRunOnceTaskIsNeverPlacedWhileAnEarlierAttemptMayRun(
 				@ForAll @Size(max = 80) List<@IntRange(max = 9999) Integer> steps) {
-			Cell cell = new Cell(true);
-			steps.forEach(cell::step);
-			assertThat(cell.overlaps).isZero();
+			SimulatedJob simulation = new SimulatedJob(true);
+			steps.forEach(simulation::step);
+			assertThat(simulation.overlaps).isZero();
 		}
 
 		@Property(seed = "2", tries = 5000)
-		void aTaskHasOneOpenAttemptAtMostAndNeverLeavesAFinalState(
+		void aTaskHasAtMostOneOpenAttemptAndNeverLeavesAFinalState(
 				@ForAll @Size(max = 80) List<@IntRange(max = 9999) Integer> steps, @ForAll boolean once) {
-			Cell cell = new Cell(once);
+			SimulatedJob simulation = new SimulatedJob(once);
 			for (int step : steps) {
-				Map<Integer, TaskState> before = cell.finalStates();
-				boolean restarted = cell.step(step);
-				long tasks = cell.job.openAttempts().stream().map(AttemptId::task).distinct().count();
-				assertThat(cell.job.openAttempts()).hasSize((int) tasks);
-				assertThat(restarted || cell.finalStates().entrySet().containsAll(before.entrySet())).isTrue();
+				Map<Integer, TaskState> before = simulation.finalStates();
+				boolean restarted = simulation.step(step);
+				long tasks = simulation.job.openAttempts().stream().map(AttemptId::task).distinct().count();
+				assertThat(simulation.job.openAttempts()).hasSize((int) tasks);
+				assertThat(restarted || simulation.finalStates().entrySet().containsAll(before.entrySet())).isTrue();
 			}
 		}
 
 		@Property(seed = "3", tries = 5000)
-		void anAttemptThatEndedIsNeverTakenForARunningOne(
-				@ForAll @Size(max = 80) List<@IntRange(max = 9999) Integer> steps, @ForAll boolean once) {
-			Cell cell = new Cell(once);
+		void anAttemptThatEndedIsNeverConsideredOpen(@ForAll @Size(max = 80) List<@IntRange(max = 9999) Integer> steps,
+				@ForAll boolean once) {
+			SimulatedJob simulation = new SimulatedJob(once);
 			for (int step : steps) {
-				cell.step(step);
-				assertThat(cell.job.openAttempts()).noneMatch(cell.endsTakenIn::contains);
+				simulation.step(step);
+				assertThat(simulation.job.openAttempts()).noneMatch(simulation.processedEnds::contains);
 			}
 		}
 
 		@Property(seed = "4", tries = 2000)
-		void countsAndOpenAttemptsFollowTheTasks(@ForAll @Size(max = 80) List<@IntRange(max = 9999) Integer> steps,
+		void stateCountsMatchTheStatesOfTheTasks(@ForAll @Size(max = 80) List<@IntRange(max = 9999) Integer> steps,
 				@ForAll boolean once) {
-			Cell cell = new Cell(once);
+			SimulatedJob simulation = new SimulatedJob(once);
 			for (int step : steps) {
-				cell.step(step);
+				simulation.step(step);
 				Map<TaskState, Integer> counted = new HashMap<>();
-				cell.job.tasks().forEach((task) -> counted.merge(task.state(), 1, Integer::sum));
-				assertThat(cell.job.stateCounts()).isEqualTo(counted);
-				assertThat(cell.job.isFinal()).isEqualTo(counted.keySet().stream().allMatch(TaskState::isFinal));
+				simulation.job.tasks().forEach((task) -> counted.merge(task.state(), 1, Integer::sum));
+				assertThat(simulation.job.stateCounts()).isEqualTo(counted);
+				assertThat(simulation.job.isFinal()).isEqualTo(counted.keySet().stream().allMatch(TaskState::isFinal));
 			}
 		}
 
 	}
 
 	/**
-	 * What is true at the workers, and messages that tell of it late, twice or never.
+	 * A job with the actual state of its workers, and messages that report this state
+	 * late, more than once or never.
 	 */
-	private static final class Cell {
+	private static final class SimulatedJob {
 
 		private final boolean once;
 
-		private final List<AttemptId> ordered = new ArrayList<>();
+		private final List<AttemptId> startRequested = new ArrayList<>();
 
 		private final List<AttemptId> running = new ArrayList<>();
 
-		private final List<Message> mail = new ArrayList<>();
+		private final List<Message> messages = new ArrayList<>();
 
-		private final Set<AttemptId> endsTakenIn = new HashSet<>();
+		private final Set<AttemptId> processedEnds = new HashSet<>();
 
 		private Job job;
 
@@ -105,7 +106,7 @@
 
 		private int overlaps;
 
-		Cell(boolean once) {
+		SimulatedJob(boolean once) {
 			this.once = once;
 			this.job = new Job(declared(TASKS, once), this.durable, this.epoch, START);
 		}
@@ -115,24 +116,24 @@
 			switch (number % 12) {
 				case 0, 1, 2 -> place();
 				case 3, 4 -> {
-					if (!this.ordered.isEmpty()) {
-						AttemptId started = this.ordered.remove(pick % this.ordered.size());
+					if (!this.startRequested.isEmpty()) {
+						AttemptId started = this.startRequested.remove(pick % this.startRequested.size());
 						this.running.add(started);
-						this.mail.add(new Message(started, Kind.RUNNING));
+						this.messages.add(new Message(started, Kind.RUNNING));
 					}
 				}
 				case 5 -> end(this.running, pick, (pick % 2 == 0) ? Kind.FINISHED : Kind.FAILED);
-				case 6 -> end(this.ordered, pick, Kind.GONE);
+				case 6 -> end(this.startRequested, pick, Kind.GONE);
 				case 7, 8 -> {
-					if (!this.mail.isEmpty()) {
-						deliver(this.mail.get(pick % this.mail.size()));
+					if (!this.messages.isEmpty()) {
+						deliver(this.messages.get(pick % this.messages.size()));
 					}
 				}
 				case 9 -> this.job.openAttempts().stream().limit(1).forEach(this.job::markLeaseExpired);
 				case 10 -> this.job.updateDeclaration(declared(1 + pick % TASKS, this.once));
 				default -> {
 					this.epoch++;
-					this.endsTakenIn.clear();
+					this.processedEnds.clear();
 					this.job = new Job(declared(TASKS, this.once), this.durable, this.epoch, START);
 					return true;
 				}
@@ -144,19 +145,19 @@
 			Instant now = START.plusSeconds(3600);
 			for (int task : this.job.placeableTasks(now, Integer.MAX_VALUE)) {
 				boolean mayRun = this.running.stream().anyMatch((attempt) -> attempt.task() == task)
-						|| this.ordered.stream().anyMatch((attempt) -> attempt.task() == task);
+						|| this.startRequested.stream().anyMatch((attempt) -> attempt.task() == task);
 				this.overlaps += mayRun ? 1 : 0;
 				AttemptId attempt = this.job.openAttempt(task);
 				assertThat(this.job.recordReservation(attempt, WORKER, "incarnation-1")).isTrue();
 				assertThat(this.job.markStarting(attempt)).isTrue();
-				this.ordered.add(attempt);
+				this.startRequested.add(attempt);
 			}
 			this.durable = this.job.toRecord("write", 1);
 		}
 
 		private void end(List<AttemptId> from, int pick, Kind kind) {
 			if (!from.isEmpty()) {
-				this.mail.add(new Message(from.remove(pick % from.size()), kind));
+				this.messages.add(new Message(from.remove(pick % from.size()), kind));
 			}
 		}
 
@@ -168,7 +169,7 @@
 				case GONE -> this.job.markNotRunning(message.attempt);
 			}
 			if (message.kind != Kind.RUNNING) {
-				this.endsTakenIn.add(message.attempt);
+				this.processedEnds.add(message.attempt);
 			}
 		}
 
--- a/monsoonrelay-model/src/test/java/org/monsoonrelay/model/job/package-info.java
+++ b/monsoonrelay-model/src/test/java/org/monsoonrelay/model/job/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Tests of the job aggregate.
+ * Tests of jobs and their attempts.
  */
 package org.monsoonrelay.model.job;
--- a/monsoonrelay-model/src/test/java/org/monsoonrelay/model/worker/WorkerTests.java
+++ b/monsoonrelay-model/src/test/java/org/monsoonrelay/model/worker/WorkerTests.java
@@ -36,7 +36,7 @@
 	class UnderAnyOrderOfMessages {
 
 		@Property(seed = "1", tries = 2000)
-		void newWorkNeverTakesCommitmentsOverTheCapacity(
+		void newWorkNeverRaisesCommitmentsAboveTheCapacity(
 				@ForAll @Size(max = 60) List<@IntRange(max = 999) Integer> messages) {
 			Scenario scenario = new Scenario();
 			for (int message : messages) {
@@ -51,7 +51,7 @@
 		}
 
 		@Property(seed = "2", tries = 2000)
-		void whatRunsByTheWorkersLastWordIsAlwaysCommitted(
+		void attemptsInTheLatestReportAreAlwaysCommitted(
 				@ForAll @Size(max = 60) List<@IntRange(max = 999) Integer> messages) {
 			Scenario scenario = new Scenario();
 			for (int message : messages) {
@@ -65,7 +65,7 @@
 		}
 
 		@Property(seed = "3", tries = 500)
-		void aLateReportOfAnEarlierIncarnationChangesNothing(@ForAll @IntRange(max = 999) int number) {
+		void aLateReportOfAnEarlierIncarnationIsIgnored(@ForAll @IntRange(max = 999) int number) {
 			Scenario scenario = new Scenario();
 			scenario.report(1);
 			scenario.report(2);
@@ -81,7 +81,7 @@
 	}
 
 	/**
-	 * One worker and what truly runs there.
+	 * One worker and the attempts that actually run on it.
 	 */
 	private static final class Scenario {
 
--- a/monsoonrelay-model/src/test/java/org/monsoonrelay/model/worker/package-info.java
+++ b/monsoonrelay-model/src/test/java/org/monsoonrelay/model/worker/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Tests of the worker aggregate.
+ * Tests of the committed capacity of workers.
  */
 package org.monsoonrelay.model.worker;
