--- a/monsoonrelay-model/src/main/java/org/monsoonrelay/model/control/ControlState.java
+++ b/monsoonrelay-model/src/main/java/org/monsoonrelay/model/control/ControlState.java
@@ -6,17 +6,17 @@
 import org.monsoonrelay.model.job.JobId;
 
 /**
- * All that operators have in force. Immutable.
+ * The complete control state that operators have put in force. Immutable.
  *
- * @param text the operators' text as they wrote it
- * @param textVersion version of the edit that brought the text
- * @param cancelled jobs cancelled for good
- * @param stopped workloads stopped until a later text names them anew
+ * @param text the configuration text, unchanged as the operators submitted it
+ * @param textVersion version of the edit that applied the text
+ * @param cancelled permanently cancelled jobs
+ * @param stopped workloads that are stopped until a later text is applied
  */
 public record ControlState(String text, long textVersion, Set<String> cancelled, Set<String> stopped) {
 
 	/**
-	 * Nothing in force.
+	 * State before the first edit.
 	 */
 	public static final ControlState NONE = new ControlState("{\"cell\":\"\"}", 0, Set.of(), Set.of());
 
@@ -26,16 +26,17 @@
 	}
 
 	/**
-	 * Tell whether a job may run.
+	 * Whether a job may run.
 	 * @param id the job
-	 * @return {@code false} if it is cancelled or its workload is stopped
+	 * @return {@code false} if the job is cancelled or its workload is stopped
 	 */
 	public boolean permits(JobId id) {
 		return !this.cancelled.contains(id.toString()) && !this.stopped.contains(id.name());
 	}
 
 	/**
-	 * Replace the text. Cancellations stay, because a cancelled job never comes back.
+	 * Replace the configuration text and resume stopped workloads. Cancellations are
+	 * kept, because a cancelled job is never resumed.
 	 * @param newText the new text
 	 * @param version version of the edit
 	 * @return the new state
@@ -45,7 +46,7 @@
 	}
 
 	/**
-	 * Cancel jobs for good.
+	 * Cancel jobs permanently.
 	 * @param ids the jobs
 	 * @return the new state
 	 */
@@ -54,7 +55,7 @@
 	}
 
 	/**
-	 * Stop workloads until the next text.
+	 * Stop workloads until the next configuration text.
 	 * @param names the workloads' names
 	 * @return the new state
 	 */
--- a/monsoonrelay-model/src/main/java/org/monsoonrelay/model/control/EditKind.java
+++ b/monsoonrelay-model/src/main/java/org/monsoonrelay/model/control/EditKind.java
@@ -1,17 +1,17 @@
 package org.monsoonrelay.model.control;
 
 /**
- * What an operator's edit does.
+ * Kind of an operator's edit.
  */
 public enum EditKind {
 
-	/** Replace the text. */
+	/** Replace the configuration text. */
 	APPLY,
 
-	/** Cancel jobs for good. */
+	/** Cancel jobs permanently. */
 	CANCEL,
 
-	/** Stop workloads until the next text. */
+	/** Stop workloads until the next configuration text. */
 	STOP
 
 }
--- a/monsoonrelay-model/src/main/java/org/monsoonrelay/model/control/EditResult.java
+++ b/monsoonrelay-model/src/main/java/org/monsoonrelay/model/control/EditResult.java
@@ -1,17 +1,17 @@
 package org.monsoonrelay.model.control;
 
 /**
- * What became of an edit that the audit trail tells of.
+ * Result of an edit, as recorded in the audit trail.
  */
 public enum EditResult {
 
-	/** It is in force. */
+	/** The edit is in force. */
 	ACCEPTED,
 
-	/** Another edit came first; it changed nothing. */
+	/** Another edit was accepted first; this one changed nothing. */
 	CONFLICT,
 
-	/** It had faults; it changed nothing. */
+	/** The edit was invalid and changed nothing. */
 	REFUSED
 
 }
--- a/monsoonrelay-model/src/main/java/org/monsoonrelay/model/control/package-info.java
+++ b/monsoonrelay-model/src/main/java/org/monsoonrelay/model/control/package-info.java
@@ -1,4 +1,5 @@
 /**
- * The control state that operators change: text, cancellations and stops, by version.
+ * Versioned control state that operators edit: configuration text, cancellations and
+ * stopped workloads.
  */
 package org.monsoonrelay.model.control;
--- a/monsoonrelay-model/src/main/java/org/monsoonrelay/model/submission/JobProgress.java
+++ b/monsoonrelay-model/src/main/java/org/monsoonrelay/model/submission/JobProgress.java
@@ -8,12 +8,12 @@
 /**
  * Durable progress of a submitted job. Immutable.
  *
- * @param state the state that callers may be told
- * @param steps records of steps, by occurrence and step
+ * @param state the state that may be reported to callers
+ * @param steps records of the steps, by the local name of the step
  */
 public record JobProgress(SubmissionState state, Map<String, StepRecord> steps) {
 
-	/** A step within its job: the number of the occurrence and that of the step. */
+	/** Local name of a step: the number of the occurrence and the number of the step. */
 	private static final Pattern LOCAL_KEY = Pattern.compile("(\\d{1,9})\\.(\\d{1,9})");
 
 	public JobProgress {
@@ -22,9 +22,10 @@
 	}
 
 	/**
-	 * Whether this can be the progress of a job: all steps and tasks are the job's.
+	 * Whether this progress is consistent with a job: it refers only to steps and tasks
+	 * of the job.
 	 * @param job the job
-	 * @return {@code true} if so
+	 * @return {@code true} if it is consistent
 	 */
 	public boolean matches(Submission job) {
 		return this.steps.entrySet().stream().allMatch((entry) -> matches(job, entry.getKey(), entry.getValue()));
--- a/monsoonrelay-model/src/main/java/org/monsoonrelay/model/submission/QueueConfiguration.java
+++ b/monsoonrelay-model/src/main/java/org/monsoonrelay/model/submission/QueueConfiguration.java
@@ -6,15 +6,15 @@
 import java.util.Optional;
 
 /**
- * The operators' configuration of queues, as of one version. Immutable.
+ * One version of the operators' configuration of queues. Immutable.
  *
- * @param version its version; higher ones replace lower ones
- * @param routes where callers reach queues
- * @param services the services with workers
+ * @param version version of the configuration; higher versions replace lower ones
+ * @param routes routes from callers' addresses to queues
+ * @param services services whose workers run tasks
  */
 public record QueueConfiguration(long version, List<QueueRoute> routes, List<WorkerService> services) {
 
-	/** Nothing is configured yet. */
+	/** Empty configuration, before the first one is received. */
 	public static final QueueConfiguration NONE = new QueueConfiguration(0, List.of(), List.of());
 
 	public QueueConfiguration {
@@ -23,10 +23,10 @@
 	}
 
 	/**
-	 * The queue that a caller's address belongs to: the longest prefix wins.
-	 * @param host the host named by the caller
-	 * @param path the path
-	 * @return the route, empty if there is no such queue
+	 * Find the route of a caller's request. The longest matching prefix takes precedence.
+	 * @param host host name that the caller sent
+	 * @param path path of the request
+	 * @return the route, empty if no route matches
 	 */
 	public Optional<QueueRoute> route(String host, String path) {
 		QueueRoute best = null;
@@ -40,7 +40,7 @@
 	}
 
 	/**
-	 * The policies by queue.
+	 * Policies by name of the queue.
 	 * @return a new map
 	 */
 	public Map<String, QueuePolicy> policies() {
--- a/monsoonrelay-model/src/main/java/org/monsoonrelay/model/submission/QueuePolicy.java
+++ b/monsoonrelay-model/src/main/java/org/monsoonrelay/model/submission/QueuePolicy.java
@@ -3,15 +3,16 @@
 import java.util.Objects;
 
 /**
- * How the jobs of a queue are to be treated. Immutable.
+ * Scheduling policy for the jobs of a queue. Immutable.
  *
- * @param queue the queue's name
- * @param service the service on whose workers the tasks run
- * @param priority 0 comes first
- * @param maximumAttempts failed runs of a task after which the job has failed
- * @param slackFactor the time a job may take, in lengths of its longest chain of work
- * @param targetMillis time beyond that, milliseconds
- * @param eligibility what asking for eligible workers costs, {@code null} if all are
+ * @param queue name of the queue
+ * @param service service whose workers run the tasks
+ * @param priority priority of the queue, 0 is the highest
+ * @param maximumAttempts number of failed runs of a task after which the job has failed
+ * @param slackFactor time allowed for a job, as a multiple of its critical path
+ * @param targetMillis time allowed in addition, milliseconds
+ * @param eligibility duration of eligibility requests, {@code null} if all workers are
+ * eligible
  */
 public record QueuePolicy(String queue, String service, int priority, int maximumAttempts, double slackFactor,
 		long targetMillis, EligibilityTimes eligibility) {
@@ -22,8 +23,8 @@
 	}
 
 	/**
-	 * Whether workers have to be asked for.
-	 * @return {@code true} if only some workers may run a step
+	 * Whether eligibility requests are required before a step can be placed.
+	 * @return {@code true} if only some workers may be eligible for a step
 	 */
 	public boolean needsEligibility() {
 		return this.eligibility != null;
--- a/monsoonrelay-model/src/main/java/org/monsoonrelay/model/submission/QueueRoute.java
+++ b/monsoonrelay-model/src/main/java/org/monsoonrelay/model/submission/QueueRoute.java
@@ -1,12 +1,12 @@
 package org.monsoonrelay.model.submission;
 
 /**
- * Where callers reach a queue. Immutable.
+ * Route from callers' addresses to a queue. Immutable.
  *
- * @param host the name that callers send as the host
+ * @param host host name that callers send
  * @param pathPrefix prefix of the paths that belong to the queue
- * @param timeoutMillis how long a caller's exchange may take, milliseconds
- * @param policy how the queue's jobs are treated
+ * @param timeoutMillis timeout of a caller's request, milliseconds
+ * @param policy scheduling policy of the queue
  */
 public record QueueRoute(String host, String pathPrefix, long timeoutMillis, QueuePolicy policy) {
 
--- a/monsoonrelay-model/src/main/java/org/monsoonrelay/model/submission/StepKey.java
+++ b/monsoonrelay-model/src/main/java/org/monsoonrelay/model/submission/StepKey.java
@@ -12,9 +12,9 @@
 	private static final int PRIME = 31;
 
 	/**
-	 * A task of the step.
+	 * Key of a task of the step.
 	 * @param index number of the task
-	 * @return its key
+	 * @return the key
 	 */
 	public TaskKey task(int index) {
 		return new TaskKey(this.job, this.occurrence, this.step, index);
@@ -28,8 +28,8 @@
 		return this.occurrence + "." + this.step;
 	}
 
-	// Keys are looked up for each task in each turn of an owner; what a record has by
-	// itself costs several times as much there.
+	// Keys are looked up for each task in each pass of the scheduling loop, where the
+	// generated methods of a record are several times as expensive.
 	@Override
 	public boolean equals(Object other) {
 		return this == other || (other instanceof StepKey key && this.step == key.step
--- a/monsoonrelay-model/src/main/java/org/monsoonrelay/model/submission/StepProgress.java
+++ b/monsoonrelay-model/src/main/java/org/monsoonrelay/model/submission/StepProgress.java
@@ -9,9 +9,10 @@
 import java.util.TreeSet;
 
 /**
- * Which tasks of a step are done and which have failed how often. Invariants: a task that
- * is done stays done; a run counts as failed once, however often its end is reported. Not
- * thread-safe: confined to the control thread of the pool's owner.
+ * Progress of a step: its completed tasks, failed attempts and checkpoints. Invariants: a
+ * completed task stays completed; a failed attempt is counted once, even if its end is
+ * reported several times. Not thread-safe: confined to the control thread of the pool's
+ * owner.
  */
 public final class StepProgress {
 
@@ -30,9 +31,9 @@
 	}
 
 	/**
-	 * Restore what was durable.
+	 * Restore progress from its durable form.
 	 * @param spec the step
-	 * @param saved its record
+	 * @param saved durable record of the step
 	 * @return the progress
 	 */
 	public static StepProgress restore(StepSpec spec, StepRecord saved) {
@@ -46,9 +47,9 @@
 	}
 
 	/**
-	 * Note that a task has ended well. A gang is done with the first of its members.
-	 * @param index the task
-	 * @return {@code true} if that was not known yet
+	 * Record that a task has completed. A gang is complete when its first member is.
+	 * @param index number of the task
+	 * @return {@code true} if the completion was not recorded yet
 	 */
 	public boolean markDone(int index) {
 		int counted = trackedIndex(index);
@@ -59,27 +60,28 @@
 	}
 
 	/**
-	 * Count a failed run, once. Workers may list the ends of a task's runs in any order.
-	 * @param index the task
-	 * @param attempt the run's attempt
-	 * @return {@code true} if that was not known yet
+	 * Record a failed attempt. Workers may report the terminations of a task's attempts
+	 * in any order, so each attempt is recorded by its number.
+	 * @param index number of the task
+	 * @param attempt number of the attempt
+	 * @return {@code true} if the failure was not recorded yet
 	 */
 	public boolean markFailed(int index, int attempt) {
 		return this.failedAttempts.computeIfAbsent(trackedIndex(index), (task) -> new TreeSet<>()).add(attempt);
 	}
 
 	/**
-	 * Remember the highest attempt that was used.
-	 * @param attempt the attempt
+	 * Record the number of an attempt that ended.
+	 * @param attempt number of the attempt
 	 */
 	public void recordAttempt(int attempt) {
 		this.highestAttempt = Math.max(this.highestAttempt, attempt);
 	}
 
 	/**
-	 * Keep a task's saved progress. A gang shares one.
-	 * @param index the task
-	 * @param checkpoint the saved progress, empty for none
+	 * Save the checkpoint of a task. The members of a gang share one checkpoint.
+	 * @param index number of the task
+	 * @param checkpoint the checkpoint, empty for none
 	 */
 	public void saveCheckpoint(int index, String checkpoint) {
 		if (!checkpoint.isEmpty() && !isDone(index)) {
@@ -88,9 +90,9 @@
 	}
 
 	/**
-	 * Saved progress from which the next run resumes.
-	 * @param index the task
-	 * @return the progress, empty for none
+	 * Checkpoint from which the next attempt resumes.
+	 * @param index number of the task
+	 * @return the checkpoint, empty for none
 	 */
 	public String checkpoint(int index) {
 		return this.checkpoints.getOrDefault(trackedIndex(index), "");
@@ -101,15 +103,15 @@
 	}
 
 	/**
-	 * Whether all tasks are done.
-	 * @return {@code true} if the steps that depend on this one may begin
+	 * Whether all tasks are complete. A step of long-running tasks never is.
+	 * @return {@code true} if the steps that depend on this one may start
 	 */
 	public boolean isComplete() {
 		return !this.spec.longRunning() && this.done.cardinality() >= this.spec.completionCount();
 	}
 
 	/**
-	 * Failed runs of the task that failed most often.
+	 * Number of failed attempts of the task that failed most often.
 	 * @return the count
 	 */
 	public int maximumFailures() {
@@ -121,7 +123,7 @@
 	}
 
 	/**
-	 * What has to be durable.
+	 * Convert the progress to its durable form.
 	 * @return the record
 	 */
 	public StepRecord toRecord() {
--- a/monsoonrelay-model/src/main/java/org/monsoonrelay/model/submission/StepRecord.java
+++ b/monsoonrelay-model/src/main/java/org/monsoonrelay/model/submission/StepRecord.java
@@ -4,12 +4,12 @@
 import java.util.Map;
 
 /**
- * Durable part of a step's progress. Immutable.
+ * Durable form of a step's progress. Immutable.
  *
- * @param done numbers of the tasks that are done
- * @param failedAttempts attempts that failed, by task
- * @param checkpoints saved progress by task
- * @param highestAttempt highest attempt that ended
+ * @param done numbers of the completed tasks
+ * @param failedAttempts failed attempts by task
+ * @param checkpoints checkpoints by task
+ * @param highestAttempt highest number of an attempt that ended
  */
 public record StepRecord(List<Integer> done, Map<Integer, List<Integer>> failedAttempts,
 		Map<Integer, String> checkpoints, int highestAttempt) {
--- a/monsoonrelay-model/src/main/java/org/monsoonrelay/model/submission/Submission.java
+++ b/monsoonrelay-model/src/main/java/org/monsoonrelay/model/submission/Submission.java
@@ -4,21 +4,22 @@
 import java.util.Objects;
 
 /**
- * A job as a caller handed it in. Immutable.
+ * A job as submitted by a caller. Immutable.
  *
- * @param id chosen by the caller; the same id is the same job
- * @param policy the queue's policy when the job was accepted
- * @param spec text for the workers, passed on unread
+ * @param id id chosen by the caller; submissions with the same id are the same job
+ * @param policy policy of the queue at the time the job was accepted
+ * @param spec opaque text that is passed on to the workers
  * @param steps the steps, numbered from 0
- * @param timetable when the job's occurrences are due
- * @param acceptedMillis when the job arrived, epoch milliseconds of the host that took it
+ * @param timetable when the occurrences of the job are due
+ * @param acceptedMillis when the job was accepted, in epoch milliseconds of the accepting
+ * host's clock
  */
 public record Submission(String id, QueuePolicy policy, String spec, List<StepSpec> steps, Timetable timetable,
 		long acceptedMillis) {
 
 	/**
-	 * Most tasks of a job, over all its occurrences. Its progress is one row of 48 KB, in
-	 * which a task that is done takes six bytes.
+	 * Maximum number of tasks of a job over all occurrences. The progress of a job is
+	 * stored in one row of 48 KB, in which each completed task takes six bytes.
 	 */
 	public static final int MAX_TASKS = 8000;
 
@@ -44,8 +45,8 @@
 	}
 
 	/**
-	 * When an occurrence may begin.
-	 * @param occurrence its number
+	 * Time at which an occurrence may start.
+	 * @param occurrence number of the occurrence
 	 * @return epoch milliseconds
 	 */
 	public long dueMillis(int occurrence) {
@@ -53,9 +54,9 @@
 	}
 
 	/**
-	 * When an occurrence has to be done to count as in time: the longest chain of
-	 * declared run times, stretched by the queue's slack, and the queue's target.
-	 * @param occurrence its number
+	 * Deadline of an occurrence: the critical path multiplied by the slack factor of the
+	 * queue, plus the target time of the queue.
+	 * @param occurrence number of the occurrence
 	 * @return epoch milliseconds
 	 */
 	public long deadlineMillis(int occurrence) {
@@ -64,9 +65,9 @@
 	}
 
 	/**
-	 * Longest chain of declared run times.
-	 * @param firstStep the step from which the chain is counted
-	 * @return milliseconds
+	 * Length of the critical path: the longest chain of declared run times.
+	 * @param firstStep number of the first step that is included
+	 * @return length in milliseconds
 	 */
 	public long criticalPathMillis(int firstStep) {
 		long[] ends = new long[this.steps.size()];
--- a/monsoonrelay-model/src/main/java/org/monsoonrelay/model/submission/SubmissionState.java
+++ b/monsoonrelay-model/src/main/java/org/monsoonrelay/model/submission/SubmissionState.java
@@ -1,7 +1,7 @@
 package org.monsoonrelay.model.submission;
 
 /**
- * What callers are told of a submitted job.
+ * State of a submitted job as reported to callers.
  */
 public enum SubmissionState {
 
@@ -11,18 +11,18 @@
 	/** A task has started. */
 	RUNNING,
 
-	/** All tasks are done. */
+	/** All tasks are complete. */
 	COMPLETED,
 
 	/** A task has failed as often as the queue allows. */
 	FAILED,
 
-	/** The caller has cancelled it. */
+	/** The caller has cancelled the job. */
 	CANCELLED;
 
 	/**
-	 * Whether the state is the last one.
-	 * @return {@code true} if nothing of the job will start any more
+	 * Whether the state is final.
+	 * @return {@code true} if no task of the job is started any more
 	 */
 	public boolean isFinal() {
 		return this == COMPLETED || this == FAILED || this == CANCELLED;
--- a/monsoonrelay-model/src/main/java/org/monsoonrelay/model/submission/SubmittedJob.java
+++ b/monsoonrelay-model/src/main/java/org/monsoonrelay/model/submission/SubmittedJob.java
@@ -5,9 +5,9 @@
 
 /**
  * A submitted job with its progress. Invariants: a final state never changes; a job is
- * completed only when every task of every occurrence is done; it has failed only when a
- * task that must end has failed as often as the queue allows. Not thread-safe: confined
- * to the control thread of the pool's owner.
+ * completed only when every task of every occurrence is complete; it has failed only when
+ * a task that is not long-running has failed as often as the queue allows. Not
+ * thread-safe: confined to the control thread of the pool's owner.
  */
 public final class SubmittedJob {
 
@@ -24,7 +24,7 @@
 	}
 
 	/**
-	 * Take over what an earlier owner made durable.
+	 * Restore the durable progress that an earlier owner wrote.
 	 * @param progress the durable progress
 	 */
 	public void restore(JobProgress progress) {
@@ -40,7 +40,7 @@
 	/**
 	 * Progress of a step.
 	 * @param key the step
-	 * @return its progress, begun if need be
+	 * @return progress of the step, created if absent
 	 */
 	public StepProgress progress(StepKey key) {
 		return this.steps.computeIfAbsent(key.localName(), this::newProgress);
@@ -51,9 +51,9 @@
 	}
 
 	/**
-	 * Whether a step's tasks may start: all steps before it are done.
+	 * Whether all steps that a step depends on are complete.
 	 * @param key the step
-	 * @return {@code true} if nothing has to be waited for but time
+	 * @return {@code true} if the step's tasks may start once the occurrence is due
 	 */
 	public boolean isReady(StepKey key) {
 		return this.submission.steps()
@@ -64,7 +64,7 @@
 	}
 
 	/**
-	 * Note that a task has started.
+	 * Record that a task has started.
 	 */
 	public void markStarted() {
 		if (this.state == SubmissionState.QUEUED) {
@@ -73,7 +73,7 @@
 	}
 
 	/**
-	 * Note that the caller has cancelled the job. Without effect once it has ended.
+	 * Cancel the job. Has no effect if the job has ended.
 	 */
 	public void cancel() {
 		if (!this.state.isFinal()) {
@@ -82,7 +82,8 @@
 	}
 
 	/**
-	 * End the job if its tasks say so.
+	 * Update the state after the progress of a step has changed: the job may have failed
+	 * or be completed.
 	 * @param key the step whose progress changed
 	 */
 	public void updateState(StepKey key) {
@@ -111,16 +112,16 @@
 	}
 
 	/**
-	 * Note that a state has become durable, so that callers may be told.
-	 * @param durable the state
+	 * Record that a state is durable and may be reported to callers.
+	 * @param durable the durable state
 	 */
 	public void markDurable(SubmissionState durable) {
 		this.durableState = durable;
 	}
 
 	/**
-	 * What has to be durable. Of a job that has ended that is its state alone: a
-	 * successor reads the progress of all jobs before it begins.
+	 * Convert the progress to its durable form. Only the state of a job that has ended is
+	 * kept, because a new owner reads the progress of all jobs before it starts.
 	 * @return the progress
 	 */
 	public JobProgress toProgress() {
--- a/monsoonrelay-model/src/main/java/org/monsoonrelay/model/submission/TaskKey.java
+++ b/monsoonrelay-model/src/main/java/org/monsoonrelay/model/submission/TaskKey.java
@@ -15,7 +15,7 @@
 	private static final int PRIME = 31;
 
 	/**
-	 * Read the form that {@link #toString()} gives.
+	 * Parse the form that {@link #toString()} returns.
 	 * @param text the form {@code job.occurrence.step.index}
 	 * @return the key
 	 * @throws IllegalArgumentException if the text has another form
@@ -30,15 +30,15 @@
 	}
 
 	/**
-	 * The step that the task belongs to.
-	 * @return the step
+	 * Key of the step that the task belongs to.
+	 * @return the key
 	 */
 	public StepKey stepKey() {
 		return new StepKey(this.job, this.occurrence, this.step);
 	}
 
-	// Keys are looked up for each task in each turn of an owner; what a record has by
-	// itself costs several times as much there.
+	// Keys are looked up for each task in each pass of the scheduling loop, where the
+	// generated methods of a record are several times as expensive.
 	@Override
 	public boolean equals(Object other) {
 		return this == other || (other instanceof TaskKey key && this.index == key.index && this.step == key.step
--- a/monsoonrelay-model/src/main/java/org/monsoonrelay/model/submission/Timetable.java
+++ b/monsoonrelay-model/src/main/java/org/monsoonrelay/model/submission/Timetable.java
@@ -1,15 +1,15 @@
 package org.monsoonrelay.model.submission;
 
 /**
- * When the occurrences of a job are due. Immutable.
+ * Due times of the occurrences of a job. Immutable.
  *
- * @param firstDueMillis when occurrence 0 is due, epoch milliseconds; 0 for at once
+ * @param firstDueMillis when occurrence 0 is due, epoch milliseconds; 0 for immediately
  * @param intervalMillis time from one occurrence to the next, milliseconds
- * @param occurrences how many there are, at least 1
+ * @param occurrences number of occurrences, at least 1
  */
 public record Timetable(long firstDueMillis, long intervalMillis, int occurrences) {
 
-	/** One occurrence, due at once. */
+	/** One occurrence, which is due immediately. */
 	public static final Timetable AT_ONCE = new Timetable(0, 0, 1);
 
 	public Timetable {
@@ -19,8 +19,8 @@
 	}
 
 	/**
-	 * When an occurrence is due.
-	 * @param occurrence its number, from 0
+	 * Due time of an occurrence.
+	 * @param occurrence number of the occurrence, from 0
 	 * @return epoch milliseconds
 	 */
 	public long dueMillis(int occurrence) {
--- a/monsoonrelay-model/src/main/java/org/monsoonrelay/model/submission/package-info.java
+++ b/monsoonrelay-model/src/main/java/org/monsoonrelay/model/submission/package-info.java
@@ -1,4 +1,5 @@
 /**
- * Jobs that callers hand in at run time, with what has become of them.
+ * Submitted jobs: their definition, their durable progress and the configuration of their
+ * queues.
  */
 package org.monsoonrelay.model.submission;
--- a/monsoonrelay-model/src/main/java/org/monsoonrelay/model/workload/CellText.java
+++ b/monsoonrelay-model/src/main/java/org/monsoonrelay/model/workload/CellText.java
@@ -9,20 +9,20 @@
 import java.util.stream.Stream;
 
 /**
- * The operators' whole text. Immutable.
+ * The parsed configuration text of a cell. Immutable.
  *
- * @param cell the cell's name
- * @param policy weights of the measures
+ * @param cell name of the cell
+ * @param policy weights of the placement objectives
  * @param teams teams with their quotas
  * @param services declared services
  * @param batchRuns declared batch runs
- * @param jobs declared all-at-once jobs
+ * @param jobs declared gang jobs
  */
 public record CellText(String cell, PolicyWeights policy, List<Team> teams, List<ServiceDeclaration> services,
 		List<RunDeclaration> batchRuns, List<RunDeclaration> jobs) {
 
 	/**
-	 * A text that declares nothing.
+	 * Configuration that declares nothing.
 	 */
 	public static final CellText EMPTY = new CellText("", PolicyWeights.EQUAL, List.of(), List.of(), List.of(),
 			List.of());
@@ -36,7 +36,7 @@
 	}
 
 	/**
-	 * All declared work in the form that placement works on.
+	 * All declared workloads in the form that placement uses.
 	 * @return the workloads
 	 */
 	public List<Workload> workloads() {
@@ -47,8 +47,8 @@
 	}
 
 	/**
-	 * Names that each team's workloads depend on.
-	 * @return the names by team; teams that depend on nothing are missing
+	 * Names of the workloads that each team's workloads depend on.
+	 * @return the names by team; teams without dependencies are omitted
 	 */
 	public Map<String, Set<String>> dependenciesByTeam() {
 		Map<String, Set<String>> names = new TreeMap<>();
--- a/monsoonrelay-model/src/main/java/org/monsoonrelay/model/workload/PolicyWeights.java
+++ b/monsoonrelay-model/src/main/java/org/monsoonrelay/model/workload/PolicyWeights.java
@@ -1,7 +1,7 @@
 package org.monsoonrelay.model.workload;
 
 /**
- * How much an operator values each measure against the others. Immutable.
+ * Relative weights of the placement objectives. Immutable.
  *
  * @param waiting weight of waiting time
  * @param packing weight of packing
@@ -10,7 +10,7 @@
 public record PolicyWeights(int waiting, int packing, int controlCost) {
 
 	/**
-	 * All measures alike.
+	 * Equal weights for all objectives.
 	 */
 	public static final PolicyWeights EQUAL = new PolicyWeights(1, 1, 1);
 
--- a/monsoonrelay-model/src/main/java/org/monsoonrelay/model/workload/QuotaUsage.java
+++ b/monsoonrelay-model/src/main/java/org/monsoonrelay/model/workload/QuotaUsage.java
@@ -3,9 +3,9 @@
 import org.monsoonrelay.model.capacity.Resources;
 
 /**
- * What one team uses of its quota. Invariant: no call takes the use over the quota; use
- * that was found running may be over it, and then nothing new is granted. Not
- * thread-safe: confined to the control thread of the queue's owner.
+ * Usage of one team's quota. Invariant: no allocation raises the usage above the quota.
+ * The initial usage may exceed it; then nothing is allocated. Not thread-safe: confined
+ * to the control thread of the queue's owner.
  */
 public final class QuotaUsage {
 
@@ -19,10 +19,10 @@
 	}
 
 	/**
-	 * How many tasks of a size the quota still allows.
-	 * @param size what each task asks for
-	 * @param wanted how many are wanted
-	 * @return between 0 and the number wanted
+	 * Number of tasks of a size that the quota still allows.
+	 * @param size resources that each task requires
+	 * @param wanted number of requested tasks
+	 * @return between 0 and the requested number
 	 */
 	public int allowedTasks(Resources size, int wanted) {
 		if (!this.team.quota().covers(this.used)) {
@@ -32,10 +32,10 @@
 	}
 
 	/**
-	 * Note that tasks hold room.
-	 * @param size what each task holds
-	 * @param tasks how many
-	 * @throws IllegalStateException if the quota does not allow it
+	 * Allocate resources to tasks.
+	 * @param size resources of each task
+	 * @param tasks number of tasks
+	 * @throws IllegalStateException if the allocation would exceed the quota
 	 */
 	public void allocate(Resources size, int tasks) {
 		if (tasks > allowedTasks(size, tasks)) {
@@ -45,9 +45,9 @@
 	}
 
 	/**
-	 * The team's use against its weight: the next room goes to the team with the least.
-	 * @param cell what the whole cell has
-	 * @return the largest share of any resource, divided by the weight
+	 * Weighted dominant share of the team. The team with the smallest one is served next.
+	 * @param cell total resources of the cell
+	 * @return the largest share of any resource, divided by the team's weight
 	 */
 	public double weightedShare(Resources cell) {
 		return this.used.dominantShareOf(cell) / Math.max(1, this.team.weight());
--- a/monsoonrelay-model/src/main/java/org/monsoonrelay/model/workload/RunDeclaration.java
+++ b/monsoonrelay-model/src/main/java/org/monsoonrelay/model/workload/RunDeclaration.java
@@ -6,17 +6,17 @@
 import org.monsoonrelay.model.job.JobId;
 
 /**
- * A declared batch run or all-at-once job. Immutable.
+ * A declared batch run or gang job. Immutable.
  *
- * @param name its name
- * @param run label of this run; a new label is new work
- * @param team the team it counts against
+ * @param name name of the workload
+ * @param run label of this run; a new label declares a new run
+ * @param team team whose quota is used
  * @param tasks number of tasks
- * @param size what each task asks for
+ * @param size resources that each task requires
  * @param runMillis declared run time of a task in milliseconds
- * @param once whether a task may never run twice
- * @param urgent whether it goes before other work
- * @param dependsOn names of the workloads it needs
+ * @param once whether the tasks are run-once tasks, which must not run twice
+ * @param urgent whether it is placed before other work
+ * @param dependsOn names of the workloads that it depends on
  * @param targets declared targets
  */
 public record RunDeclaration(String name, String run, String team, int tasks, Resources size, long runMillis,
@@ -28,8 +28,8 @@
 	}
 
 	/**
-	 * The form that placement works on.
-	 * @param kind whether its tasks are independent or need each other
+	 * Convert the declaration to the form that placement uses.
+	 * @param kind kind of the workload, batch or gang
 	 * @return the workload
 	 */
 	public Workload workload(WorkloadKind kind) {
--- a/monsoonrelay-model/src/main/java/org/monsoonrelay/model/workload/ServiceDeclaration.java
+++ b/monsoonrelay-model/src/main/java/org/monsoonrelay/model/workload/ServiceDeclaration.java
@@ -6,14 +6,15 @@
 import org.monsoonrelay.model.job.JobId;
 
 /**
- * A declared service: replicas on workers and operations on backend servers. Immutable.
+ * A declared service, with replicas on workers and operations on backend servers.
+ * Immutable.
  *
- * @param name the service's name
- * @param team the team it counts against
+ * @param name name of the service
+ * @param team team whose quota is used
  * @param replicas number of long-running tasks
- * @param size what each replica asks for
- * @param dependsOn names of the workloads it needs
- * @param operations what callers may ask for
+ * @param size resources that each replica requires
+ * @param dependsOn names of the workloads that it depends on
+ * @param operations operations offered to callers
  * @param targets declared targets
  */
 public record ServiceDeclaration(String name, String team, int replicas, Resources size, List<String> dependsOn,
@@ -26,7 +27,7 @@
 	}
 
 	/**
-	 * The form that placement works on.
+	 * Convert the declaration to the form that placement uses.
 	 * @return the workload
 	 */
 	public Workload workload() {
--- a/monsoonrelay-model/src/main/java/org/monsoonrelay/model/workload/TargetKind.java
+++ b/monsoonrelay-model/src/main/java/org/monsoonrelay/model/workload/TargetKind.java
@@ -5,13 +5,13 @@
  */
 public enum TargetKind {
 
-	/** A job has finished by an instant. */
+	/** A job finishes by a given time. */
 	FINISH_BY,
 
-	/** Tasks start within a time after they are ready. */
+	/** Tasks start within a given time after they become ready. */
 	START_WITHIN,
 
-	/** A percentile of an operation's answers comes within a time. */
+	/** A percentile of an operation's response times stays within a bound. */
 	ANSWER_WITHIN
 
 }
--- a/monsoonrelay-model/src/main/java/org/monsoonrelay/model/workload/Workload.java
+++ b/monsoonrelay-model/src/main/java/org/monsoonrelay/model/workload/Workload.java
@@ -6,18 +6,19 @@
 import org.monsoonrelay.model.job.JobId;
 
 /**
- * One declared workload in the form that placement works on. Immutable.
+ * One declared workload in the form that placement uses. Immutable.
  *
- * @param id its identity
- * @param kind how its tasks belong together
- * @param team the team it counts against
+ * @param id identity of the run
+ * @param kind kind of the workload
+ * @param team team whose quota is used
  * @param tasks number of tasks
- * @param size what each task asks for
+ * @param size resources that each task requires
  * @param runMillis declared run time of a task in milliseconds, 0 for services
- * @param once whether a task may be started at most once at a time, attempt recorded
- * before the start
- * @param urgent whether it goes before other work
- * @param dependsOn names of the workloads that have to be finished, or up, before
+ * @param once whether the tasks are run-once tasks: at most one attempt may run at a
+ * time, and an attempt is recorded before it is started
+ * @param urgent whether it is placed before other work
+ * @param dependsOn names of the workloads that have to be finished, or running if they
+ * are services, before this one starts
  * @param targets declared targets
  */
 public record Workload(JobId id, WorkloadKind kind, String team, int tasks, Resources size, long runMillis,
--- a/monsoonrelay-model/src/main/java/org/monsoonrelay/model/workload/WorkloadKind.java
+++ b/monsoonrelay-model/src/main/java/org/monsoonrelay/model/workload/WorkloadKind.java
@@ -1,17 +1,17 @@
 package org.monsoonrelay.model.workload;
 
 /**
- * How the tasks of a workload belong together.
+ * Kind of a workload, which determines how its tasks are placed.
  */
 public enum WorkloadKind {
 
 	/** Long-running replicas, spread over racks and failure domains. */
 	SERVICE,
 
-	/** Independent tasks that end, packed. */
+	/** Independent tasks that terminate, packed onto few workers. */
 	BATCH,
 
-	/** Tasks that need each other at once, placed all or none. */
+	/** Tasks that have to run at the same time, placed all or none. */
 	GANG
 
 }
--- a/monsoonrelay-model/src/main/java/org/monsoonrelay/model/workload/package-info.java
+++ b/monsoonrelay-model/src/main/java/org/monsoonrelay/model/workload/package-info.java
@@ -1,4 +1,4 @@
 /**
- * What operators declare: services, batch runs, jobs, teams and targets.
+ * Workloads that operators declare, with their teams, quotas and targets.
  */
 package org.monsoonrelay.model.workload;
--- a/monsoonrelay-model/src/test/java/org/monsoonrelay/model/submission/KeysTests.java
+++ b/monsoonrelay-model/src/test/java/org/monsoonrelay/model/submission/KeysTests.java
@@ -15,7 +15,7 @@
 	private static final StepKey STEP = new StepKey("job", 1, 2);
 
 	@Test
-	void areEqualWhenAllPartsAre() {
+	void areEqualWhenAllTheirPartsAreEqual() {
 		TaskKey task = TaskKey.parse("job.1.2.3");
 		assertThat(task).isEqualTo(TASK).hasSameHashCodeAs(TASK);
 		assertThat(task.stepKey()).isEqualTo(STEP).hasSameHashCodeAs(STEP);
@@ -23,7 +23,7 @@
 	}
 
 	@Test
-	void differWhenOnePartDoes() {
+	void differWhenOneOfTheirPartsDiffers() {
 		assertThat(List.of(new TaskKey("other", 1, 2, 3), new TaskKey("job", 0, 2, 3), new TaskKey("job", 1, 0, 3),
 				new TaskKey("job", 1, 2, 0)))
 			.doesNotContain(TASK);
@@ -33,7 +33,7 @@
 	}
 
 	@Test
-	void ofTheTasksOfAJobSpreadOverTheirHashes() {
+	void haveDistinctHashesForMostTasksOfAJob() {
 		Set<Integer> hashes = new HashSet<>();
 		for (int step = 0; step < 3; step++) {
 			for (int index = 0; index < 30; index++) {
--- a/monsoonrelay-model/src/test/java/org/monsoonrelay/model/submission/SubmittedJobTests.java
+++ b/monsoonrelay-model/src/test/java/org/monsoonrelay/model/submission/SubmittedJobTests.java
@@ -34,7 +34,7 @@
 	class Failures {
 
 		@Test
-		void countEachAttemptOnceInWhateverOrderTheirEndsAreListed() {
+		void areCountedOncePerAttemptInAnyOrderOfReports() {
 			SubmittedJob job = job(step(1, false));
 			assertThat(job.progress(FIRST).markFailed(0, 2)).isTrue();
 			assertThat(job.progress(FIRST).markFailed(0, 1)).isTrue();
@@ -44,7 +44,7 @@
 		}
 
 		@Test
-		void areKnownToTheNextOwner() {
+		void arePreservedForTheNextOwner() {
 			SubmittedJob job = job(step(1, false));
 			job.progress(FIRST).markFailed(0, 2);
 			SubmittedJob next = restored(job);
@@ -55,7 +55,7 @@
 		}
 
 		@Test
-		void ofDifferentTasksDoNotAddUp() {
+		void ofDifferentTasksAreNotAdded() {
 			SubmittedJob job = job(step(2, false));
 			job.progress(FIRST).markFailed(0, 1);
 			job.progress(FIRST).markFailed(1, 1);
@@ -64,7 +64,7 @@
 		}
 
 		@Test
-		void ofMembersOfAGangAreOneAnAttempt() {
+		void ofGangMembersCountOncePerAttempt() {
 			SubmittedJob job = job(step(4, true));
 			job.progress(FIRST).markFailed(0, 1);
 			job.progress(FIRST).markFailed(3, 1);
@@ -78,7 +78,7 @@
 	class Completion {
 
 		@Test
-		void needsEveryTaskOfEveryStep() {
+		void requiresEveryTaskOfEveryStep() {
 			SubmittedJob job = job(step(2, false), step(3, true, 0));
 			job.progress(FIRST).markDone(0);
 			job.updateState(FIRST);
@@ -93,7 +93,7 @@
 		}
 
 		@Test
-		void isNotUndoneByACancellation() {
+		void isNotRevertedByACancellation() {
 			SubmittedJob job = job(step(1, false));
 			job.progress(FIRST).markDone(0);
 			job.updateState(FIRST);
@@ -102,7 +102,7 @@
 		}
 
 		@Test
-		void isTheSameForTheNextOwner() {
+		void isPreservedForTheNextOwner() {
 			SubmittedJob job = job(step(2, false), step(1, false, 0));
 			job.progress(FIRST).markDone(0);
 			job.progress(FIRST).saveCheckpoint(1, "half");
@@ -118,7 +118,7 @@
 	class Deadlines {
 
 		@Test
-		void stretchTheLongestChain() {
+		void multiplyTheCriticalPathByTheSlackFactor() {
 			SubmittedJob job = job(step(1, false), step(1, false), step(1, false, 0));
 			assertThat(job.submission().deadlineMillis(0)).isEqualTo(1000 + 2 * 200 + 50);
 			assertThat(job.submission().criticalPathMillis(2)).isEqualTo(100);
