--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/events/DecisionLog.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/events/DecisionLog.java
@@ -1,12 +1,13 @@
 package org.monsoonrelay.logic.events;
 
 /**
- * Takes a line for each decision, and figures that have none. Implementations are
- * thread-safe, never block and may leave lines out under load, counting them.
+ * Log of decisions, which also records metric values that have no log line.
+ * Implementations are thread-safe, never block, and may omit lines under load; omitted
+ * lines are counted.
  */
 public interface DecisionLog {
 
-	/** Keeps nothing. */
+	/** Discards everything. */
 	DecisionLog NONE = (decision) -> {
 	};
 
@@ -17,11 +18,11 @@
 	void write(Decision decision);
 
 	/**
-	 * Take a figure that no line is written for.
-	 * @param measure what was measured
-	 * @param value the figure in its unit
+	 * Record a metric value without writing a line.
+	 * @param metric the metric
+	 * @param value the value, in the metric's unit
 	 */
-	default void recordMetric(Metric measure, long value) {
+	default void recordMetric(Metric metric, long value) {
 	}
 
 }
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/events/JobDecision.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/events/JobDecision.java
@@ -1,18 +1,19 @@
 package org.monsoonrelay.logic.events;
 
 /**
- * Decisions on a request, a job, a step or a task, each named by its id. Immutable.
+ * Decisions on a request, a job, a step or a task, which is identified by its id.
+ * Immutable.
  */
 public sealed interface JobDecision extends Decision {
 
 	/**
-	 * A write that the table did not take from this host was tried through the owner of
-	 * the pool.
+	 * A write that this host could not commit to the table was relayed through the pool's
+	 * owner.
 	 *
-	 * @param job the job that it is about
-	 * @param through where the owner listens
-	 * @param outcome what became of it
-	 * @param tookMillis how long that took
+	 * @param job the job that the write concerns
+	 * @param through address of the owner
+	 * @param outcome outcome of the write
+	 * @param tookMillis time until the outcome was known
 	 */
 	record WriteRelayed(String job, String through, String outcome, long tookMillis) implements JobDecision {
 
@@ -23,9 +24,9 @@
 	 *
 	 * @param job the job
 	 * @param queue its queue
-	 * @param outcome what the caller was told
+	 * @param outcome outcome returned to the caller
 	 * @param tookMillis time to the answer
-	 * @param configurationVersion version that named the queue
+	 * @param configurationVersion version of the configuration that defines the queue
 	 */
 	record SubmissionAnswered(String job, String queue, String outcome, long tookMillis,
 			long configurationVersion) implements JobDecision {
@@ -40,9 +41,9 @@
 	/**
 	 * A caller's request was refused.
 	 *
-	 * @param request the job or path
-	 * @param reason why
-	 * @param configurationVersion version in force
+	 * @param request id of the job, or path of the request
+	 * @param reason reason for the refusal
+	 * @param configurationVersion version of the configuration in force
 	 */
 	record RequestRefused(String request, String reason, long configurationVersion) implements JobDecision {
 
@@ -57,7 +58,7 @@
 	 * A caller's cancellation was answered.
 	 *
 	 * @param job the job
-	 * @param outcome what the caller was told
+	 * @param outcome outcome returned to the caller
 	 * @param tookMillis time to the answer
 	 */
 	record CancellationAnswered(String job, String outcome, long tookMillis) implements JobDecision {
@@ -70,7 +71,7 @@
 	}
 
 	/**
-	 * The owner has learnt of a job.
+	 * The pool's owner has loaded a job.
 	 *
 	 * @param job the job
 	 * @param queue its queue
@@ -87,7 +88,7 @@
 	 * @param job the job
 	 * @param state its final state
 	 * @param ageMillis time since it was accepted
-	 * @param lateMillis time past its deadline, negative if early
+	 * @param lateMillis time past its deadline, negative if it ended before the deadline
 	 */
 	record JobEnded(String job, String state, long ageMillis, long lateMillis) implements JobDecision {
 
@@ -99,16 +100,17 @@
 	}
 
 	/**
-	 * It is known which workers may run a step.
+	 * An eligibility request for a step was answered.
 	 *
 	 * @param job the job
 	 * @param step the step
-	 * @param host the host that asked
-	 * @param asked number of workers asked about
-	 * @param allowed number of workers allowed
-	 * @param firstAsked how many of the workers had not been asked about before
-	 * @param rank place of the step in the order of the queue when it was sent, 0 first
-	 * @param queuedMillis how long the question waited for a host that had time
+	 * @param host the host that sent the request
+	 * @param asked number of workers queried
+	 * @param allowed number of eligible workers
+	 * @param firstAsked number of workers that were queried for the first time
+	 * @param rank position of the step in the queue when the request was sent, 0 first
+	 * @param queuedMillis time that the request waited for a host with free capacity for
+	 * calls
 	 * @param tookMillis time to the answer
 	 */
 	record EligibilityAnswered(String job, String step, String host, int asked, int allowed, int firstAsked, int rank,
@@ -117,26 +119,26 @@
 	}
 
 	/**
-	 * It could not be found out which workers may run a step.
+	 * An eligibility request for a step failed.
 	 *
 	 * @param job the job
 	 * @param step the step
-	 * @param host the host that asked
-	 * @param reason what happened
+	 * @param host the host that sent the request
+	 * @param reason reason for the failure
 	 */
 	record EligibilityFailed(String job, String step, String host, String reason) implements JobDecision {
 
 	}
 
 	/**
-	 * A task was placed and its start sent.
+	 * A task was placed and its start request sent.
 	 *
 	 * @param job the job
 	 * @param task the task
 	 * @param attempt the attempt
 	 * @param worker the worker
 	 * @param fence the fencing token
-	 * @param lookAgeMillis age of what is known of the worker
+	 * @param lookAgeMillis age of the last successful poll of the worker
 	 * @param waitedMillis time since the job was accepted
 	 */
 	record TaskPlaced(String job, String task, int attempt, String worker, long fence, long lookAgeMillis,
@@ -145,40 +147,40 @@
 	}
 
 	/**
-	 * A start was not carried out, or its answer is missing.
+	 * A start request was not carried out, or was not answered.
 	 *
 	 * @param job the job
 	 * @param task the task
 	 * @param attempt the attempt
 	 * @param worker the worker
-	 * @param outcome what the worker said
+	 * @param outcome outcome that the worker returned
 	 */
 	record StartFailed(String job, String task, int attempt, String worker, String outcome) implements JobDecision {
 
 	}
 
 	/**
-	 * A task was told to stop.
+	 * A run was requested to stop.
 	 *
 	 * @param job the job
 	 * @param task the task
 	 * @param attempt the attempt
 	 * @param worker the worker
-	 * @param reason why
+	 * @param reason reason for the stop
 	 */
 	record TaskStopped(String job, String task, int attempt, String worker, String reason) implements JobDecision {
 
 	}
 
 	/**
-	 * A run has ended by the worker's word.
+	 * A worker reported that a run has ended.
 	 *
 	 * @param job the job
 	 * @param task the task
 	 * @param attempt the attempt
 	 * @param worker the worker
-	 * @param end how it ended
-	 * @param ranMillis time since the start was sent, -1 if another owner sent it
+	 * @param end how the run ended
+	 * @param ranMillis time since the start request was sent, -1 if another owner sent it
 	 */
 	record TaskEnded(String job, String task, int attempt, String worker, String end,
 			long ranMillis) implements JobDecision {
@@ -186,13 +188,13 @@
 	}
 
 	/**
-	 * A run counts as lost with its worker.
+	 * A run was lost together with its worker.
 	 *
 	 * @param job the job
 	 * @param task the task
 	 * @param attempt the attempt
 	 * @param worker the worker
-	 * @param reason how that is known
+	 * @param reason evidence that the run was lost
 	 */
 	record TaskLost(String job, String task, int attempt, String worker, String reason) implements JobDecision {
 
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/events/Metric.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/events/Metric.java
@@ -1,22 +1,25 @@
 package org.monsoonrelay.logic.events;
 
 /**
- * Figures that are measured without a line for each.
+ * Metrics that are recorded without a log line for each value.
  */
 public enum Metric {
 
-	/** From sending a start to the worker's word that it runs, milliseconds. */
+	/**
+	 * Time from sending a start request until the worker confirms the run, in
+	 * milliseconds.
+	 */
 	START_LATENCY,
 
 	/**
-	 * From taking in ends that a worker lists to the look that acknowledges them,
-	 * milliseconds.
+	 * Time from processing the terminations that a worker reports until the poll that
+	 * acknowledges them, in milliseconds.
 	 */
 	ACKNOWLEDGEMENT_LATENCY,
 
 	/**
-	 * What a run that did not end well took of its worker, thousandths of a processor
-	 * times milliseconds.
+	 * Processor time reserved by a run that did not complete, in thousandths of a
+	 * processor times milliseconds.
 	 */
 	WASTED_PROCESSOR_TIME
 
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/events/PoolDecision.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/events/PoolDecision.java
@@ -1,39 +1,42 @@
 package org.monsoonrelay.logic.events;
 
 /**
- * Decisions of an owner on its pool: who owns it, how full it is, which workers it
- * believes in. Immutable.
+ * Decisions of a pool's owner: ownership of the pool, its load, and the state of its
+ * workers. Immutable.
  */
 public sealed interface PoolDecision extends Decision {
 
 	/**
-	 * A new owner knows what runs on every worker that an earlier owner used, or that
-	 * nothing can run there any more: it may start tasks that the earlier one knew.
+	 * The recovery of a new owner is complete: for every worker that an earlier owner may
+	 * have used, it knows what runs there, or that nothing can run there any more. From
+	 * now on it may start tasks that the earlier owner may have started.
 	 *
-	 * @param epoch its fencing token
-	 * @param workers how many workers the earlier owner may have used
-	 * @param tookMillis time since it owns the pool
+	 * @param epoch the owner's fencing token
+	 * @param workers number of workers that the earlier owner may have used
+	 * @param tookMillis time since the owner acquired the pool
 	 */
 	record WorkersAccounted(long epoch, int workers, long tookMillis) implements PoolDecision {
 
 	}
 
 	/**
-	 * What an owner's pool looks like, told once a second.
+	 * Load of the pool, written once a second by its owner.
 	 *
 	 * @param epoch the fencing token
-	 * @param workers workers that take new work
-	 * @param capacity their size, thousandths of a processor
-	 * @param committed what runs on them or is being stopped, thousandths of a processor
-	 * @param held what is kept for gangs that wait for an answer, thousandths of a
-	 * processor
-	 * @param stepsWaiting steps with tasks that may be started
-	 * @param tasksWaiting those tasks
-	 * @param questionsSent questions on eligibility that wait for an answer
-	 * @param questionsQueued questions that wait for a host that has time
-	 * @param turns turns of the owner since the last line
-	 * @param turnMillis what they took
-	 * @param longestTurnMillis the longest of them
+	 * @param workers number of workers that accept new work
+	 * @param capacity capacity of these workers, thousandths of a processor
+	 * @param committed capacity used by runs, including those being stopped, thousandths
+	 * of a processor
+	 * @param held capacity held for gangs that wait for an eligibility answer,
+	 * thousandths of a processor
+	 * @param stepsWaiting number of steps with tasks that are ready to start
+	 * @param tasksWaiting number of those tasks
+	 * @param questionsSent number of eligibility requests in flight
+	 * @param questionsQueued number of eligibility requests that wait for a host with
+	 * free capacity for calls
+	 * @param turns passes of the scheduling loop since the last line
+	 * @param turnMillis total duration of these passes
+	 * @param longestTurnMillis duration of the longest pass
 	 */
 	record PoolLoad(long epoch, int workers, long capacity, long committed, long held, int stepsWaiting,
 			int tasksWaiting, int questionsSent, int questionsQueued, int turns, long turnMillis,
@@ -42,61 +45,61 @@
 	}
 
 	/**
-	 * A worker may get work.
+	 * A worker is reachable and may be given work.
 	 *
 	 * @param worker the worker
-	 * @param running tasks that run there
+	 * @param running number of tasks that run on it
 	 */
 	record WorkerReached(String worker, int running) implements PoolDecision {
 
 	}
 
 	/**
-	 * A worker does not answer and gets no work.
+	 * A worker is unresponsive and is given no work.
 	 *
 	 * @param worker the worker
 	 * @param reason the failure
-	 * @param running tasks that may run there
+	 * @param running number of tasks that may run on it
 	 */
 	record WorkerSilent(String worker, String reason, int running) implements PoolDecision {
 
 	}
 
 	/**
-	 * Nothing runs on a worker any more.
+	 * A worker was lost: nothing runs on it any more.
 	 *
 	 * @param worker the worker
-	 * @param reason how that is known
-	 * @param lost runs that were lost
+	 * @param reason evidence that nothing runs on it
+	 * @param lost number of runs that were lost
 	 */
 	record WorkerLost(String worker, String reason, int lost) implements PoolDecision {
 
 	}
 
 	/**
-	 * A worker gets no work for a while because runs fail there.
+	 * A worker is temporarily given no work because runs fail on it.
 	 *
 	 * @param worker the worker
-	 * @param failuresInRow failed runs in a row
-	 * @param untilMillis for how long
+	 * @param failuresInRow number of consecutive failed runs
+	 * @param untilMillis how long the worker is avoided
 	 */
 	record WorkerAvoided(String worker, int failuresInRow, long untilMillis) implements PoolDecision {
 
 	}
 
 	/**
-	 * This process owns the pool now.
+	 * This process has acquired ownership of the pool.
 	 *
 	 * @param epoch the fencing token
-	 * @param previousHolder who owned it before
-	 * @param reason why it was free
+	 * @param previousHolder the previous owner
+	 * @param reason why the pool had no owner
 	 */
 	record OwnershipTaken(long epoch, String previousHolder, String reason) implements PoolDecision {
 
 	}
 
 	/**
-	 * The owner has loaded the jobs and begins to place.
+	 * The owner has loaded the jobs and begins to place tasks.
 	 *
 	 * @param epoch the fencing token
 	 * @param jobs number of jobs that have not ended
@@ -107,10 +110,10 @@
 	}
 
 	/**
-	 * This process owns the pool no more.
+	 * This process has lost ownership of the pool.
 	 *
-	 * @param epoch the fencing token it had
-	 * @param reason why
+	 * @param epoch the fencing token of the lost ownership
+	 * @param reason reason for the loss
 	 */
 	record OwnershipLost(long epoch, String reason) implements PoolDecision {
 
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/events/ProcessDecision.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/events/ProcessDecision.java
@@ -1,17 +1,17 @@
 package org.monsoonrelay.logic.events;
 
 /**
- * Decisions of a process about itself and what it depends on: its life, its settings, the
- * services that it uses. Immutable.
+ * Decisions of a process about itself and its dependencies: start and stop, settings, and
+ * the services that it uses. Immutable.
  */
 public sealed interface ProcessDecision extends Decision {
 
 	/**
-	 * A process has begun to serve.
+	 * A process has started and accepts requests.
 	 *
 	 * @param role its role
 	 * @param host its host
-	 * @param failureDomain where it stands
+	 * @param failureDomain failure domain of the host
 	 * @param sinceLaunchMillis time since the process was launched
 	 */
 	record ProcessStarted(String role, String host, String failureDomain,
@@ -20,10 +20,10 @@
 	}
 
 	/**
-	 * A process was told to stop.
+	 * A process was requested to stop.
 	 *
 	 * @param role its role
-	 * @param inFlight exchanges in flight
+	 * @param inFlight number of exchanges in flight
 	 */
 	record ProcessStopping(String role, int inFlight) implements ProcessDecision {
 
@@ -33,26 +33,26 @@
 	 * A process has stopped.
 	 *
 	 * @param role its role
-	 * @param drainMillis how long that took
+	 * @param drainMillis time from the request to stop until the process had stopped
 	 */
 	record ProcessStopped(String role, long drainMillis) implements ProcessDecision {
 
 	}
 
 	/**
-	 * The settings were read again.
+	 * The settings were reloaded.
 	 *
 	 * @param role the process's role
-	 * @param outcome what came of it
+	 * @param outcome outcome of the reload
 	 */
 	record SettingsReloaded(String role, String outcome) implements ProcessDecision {
 
 	}
 
 	/**
-	 * A dependency does not answer any more.
+	 * A dependency has become unavailable.
 	 *
-	 * @param dependency what
+	 * @param dependency name of the dependency
 	 * @param reason the first failure
 	 */
 	record DependencyLost(String dependency, String reason) implements ProcessDecision {
@@ -60,32 +60,32 @@
 	}
 
 	/**
-	 * A dependency answers again.
+	 * A dependency is available again.
 	 *
-	 * @param dependency what
-	 * @param outageMillis how long it did not
+	 * @param dependency name of the dependency
+	 * @param outageMillis duration of the outage
 	 */
 	record DependencyBack(String dependency, long outageMillis) implements ProcessDecision {
 
 	}
 
 	/**
-	 * A row of the table cannot be read and is left out. Written once until it can be
-	 * read again or the reason changes.
+	 * A row cannot be read and is skipped. Written once until the row can be read again
+	 * or the reason changes.
 	 *
-	 * @param table its table
-	 * @param key its key
-	 * @param reason why
+	 * @param table name of the table
+	 * @param key key of the row
+	 * @param reason reason for the failure
 	 */
 	record RowUnreadable(String table, String key, String reason) implements ProcessDecision {
 
 	}
 
 	/**
-	 * A configuration is in force.
+	 * A configuration has come into force.
 	 *
 	 * @param version its version
-	 * @param previousVersion the one before
+	 * @param previousVersion version of the previous configuration
 	 * @param queues number of queues
 	 */
 	record ConfigurationInForce(long version, long previousVersion, int queues) implements ProcessDecision {
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/events/package-info.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/events/package-info.java
@@ -1,4 +1,4 @@
 /**
- * What processes decide and come to believe, as typed records for the logs.
+ * Typed records of the decisions of processes, as they are written to the logs.
  */
 package org.monsoonrelay.logic.events;
