--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/explain/CausalOrder.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/explain/CausalOrder.java
@@ -12,39 +12,40 @@
 import org.monsoonrelay.logic.events.JobDecision;
 
 /**
- * Puts lines of several processes into one order. Invariants: the lines of one process
- * stay in the order in which it wrote them; over processes an owner's lines come before
- * those of a later epoch, a task's earlier attempt before a later one, a caller's answer
- * before what the owner made of the job, and a cancellation before the end that it
- * brought. Times of day are not looked at. If lines name causes in a circle, the first of
- * the earliest epoch goes on. Stateless and thread-safe.
+ * Sorts the lines of several processes so that causes precede effects. Invariants: the
+ * lines of one process stay in the order in which it wrote them; across processes, an
+ * owner's lines come before those of a later epoch, an earlier attempt of a task before a
+ * later one, the answer to a caller before the owner's processing of the job, and a
+ * cancellation before the end of the job that it caused. Wall-clock times are ignored,
+ * because the clocks of hosts are not comparable. If the lines form a causal cycle, the
+ * first line of the earliest epoch is taken next. Stateless and thread-safe.
  */
 final class CausalOrder {
 
 	private static final String CANCELLED = "CANCELLED";
 
 	private static final Comparator<EpochLine> BY_RANK_AND_POSITION = Comparator.comparingLong(CausalOrder::rank)
-		.thenComparingLong((told) -> told.line().number());
+		.thenComparingLong((entry) -> entry.line().number());
 
 	private CausalOrder() {
 	}
 
 	/**
-	 * Order lines.
-	 * @param lines the lines, those of one process in its order
-	 * @return all of them, causes first
+	 * Sort lines by cause.
+	 * @param lines the lines, those of each process in the order in which it wrote them
+	 * @return all lines, causes first
 	 */
 	static List<EpochLine> sort(List<EpochLine> lines) {
 		Map<String, Deque<EpochLine>> processes = new LinkedHashMap<>();
-		lines
-			.forEach((told) -> processes.computeIfAbsent(told.line().source(), (name) -> new ArrayDeque<>()).add(told));
+		lines.forEach(
+				(entry) -> processes.computeIfAbsent(entry.line().source(), (name) -> new ArrayDeque<>()).add(entry));
 		List<EpochLine> ordered = new ArrayList<>(lines.size());
 		while (!processes.isEmpty()) {
-			List<EpochLine> heads = processes.values().stream().map(Deque::peek).toList();
-			EpochLine next = heads.stream()
-				.filter((head) -> hasNoPendingCause(head, processes.values()))
+			List<EpochLine> nextLines = processes.values().stream().map(Deque::peek).toList();
+			EpochLine next = nextLines.stream()
+				.filter((candidate) -> hasNoPendingCause(candidate, processes.values()))
 				.min(BY_RANK_AND_POSITION)
-				.orElseGet(() -> heads.stream().min(BY_RANK_AND_POSITION).orElseThrow());
+				.orElseGet(() -> nextLines.stream().min(BY_RANK_AND_POSITION).orElseThrow());
 			ordered.add(next);
 			Deque<EpochLine> rest = processes.get(next.line().source());
 			rest.remove();
@@ -55,18 +56,20 @@
 		return ordered;
 	}
 
-	// Callers' answers first, a cancellation as late as what follows from it lets it be.
-	private static long rank(EpochLine told) {
-		if (told.line().isEvent(JobDecision.CancellationAnswered.class)) {
+	// Answers to callers come first. A cancellation comes last among the candidates,
+	// right
+	// before the first line that it caused.
+	private static long rank(EpochLine entry) {
+		if (entry.line().isEvent(JobDecision.CancellationAnswered.class)) {
 			return Long.MAX_VALUE;
 		}
-		return EventCategories.isIndependentOfOwner(told.line()) ? Long.MIN_VALUE : told.epoch();
+		return EventCategories.isIndependentOfOwner(entry.line()) ? Long.MIN_VALUE : entry.epoch();
 	}
 
-	private static boolean hasNoPendingCause(EpochLine head, Collection<Deque<EpochLine>> processes) {
+	private static boolean hasNoPendingCause(EpochLine candidate, Collection<Deque<EpochLine>> processes) {
 		return processes.stream()
-			.filter((rest) -> !rest.peek().line().source().equals(head.line().source()))
-			.noneMatch((rest) -> rest.stream().anyMatch((other) -> isCause(other, head)));
+			.filter((rest) -> !rest.peek().line().source().equals(candidate.line().source()))
+			.noneMatch((rest) -> rest.stream().anyMatch((other) -> isCause(other, candidate)));
 	}
 
 	private static boolean isCause(EpochLine cause, EpochLine effect) {
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/explain/CauseFinder.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/explain/CauseFinder.java
@@ -13,8 +13,8 @@
 import org.monsoonrelay.logic.events.ProcessDecision;
 
 /**
- * Says what became of a job and why, by its lines alone. Each sentence rests on lines
- * that are there; what is not in them is not guessed at. Not thread-safe.
+ * Explains the outcome of a job and its causes from its log lines. Each sentence is based
+ * on lines that are present; nothing is guessed. Not thread-safe.
  */
 final class CauseFinder {
 
@@ -24,7 +24,7 @@
 
 	/**
 	 * Create a finder.
-	 * @param lines the lines of a story, causes first
+	 * @param lines the lines of a timeline, causes first
 	 */
 	CauseFinder(List<LogLine> lines) {
 		this.lines = lines;
@@ -109,18 +109,20 @@
 			byWorker.computeIfAbsent(line.text("worker"), (worker) -> new ArrayList<>()).add(line);
 		}
 		byWorker.forEach((worker, runs) -> {
-			String silent = all(PoolDecision.WorkerSilent.class).stream()
+			String unresponsive = all(PoolDecision.WorkerSilent.class).stream()
 				.filter((line) -> line.text("worker").equals(worker))
 				.map((line) -> "; it was silent before: " + line.text("reason"))
 				.findFirst()
 				.orElse("");
 			LogLine run = runs.get(0);
-			causes.add(runs.size() + " runs were lost with worker " + worker + ": " + run.text("reason") + silent + "; "
-					+ describeNextAttempt(run));
+			causes.add(runs.size() + " runs were lost with worker " + worker + ": " + run.text("reason") + unresponsive
+					+ "; " + describeNextAttempt(run));
 		});
-		long foreign = all(JobDecision.TaskEnded.class).stream().filter((line) -> line.value("ranMillis") < 0).count();
-		if (foreign > 0) {
-			causes.add(foreign + " runs ended that an earlier owner had started" + describeTakeOver());
+		long startedByEarlierOwner = all(JobDecision.TaskEnded.class).stream()
+			.filter((line) -> line.value("ranMillis") < 0)
+			.count();
+		if (startedByEarlierOwner > 0) {
+			causes.add(startedByEarlierOwner + " runs ended that an earlier owner had started" + describeTakeOver());
 		}
 	}
 
@@ -212,7 +214,8 @@
 				: runs;
 	}
 
-	// An epoch that was taken and not settled places nothing of what it has not loaded.
+	// An owner that has not loaded all jobs yet places no tasks of the missing ones, so
+	// each take-over may explain a delay.
 	private String describeRecoveries() {
 		StringBuilder text = new StringBuilder();
 		for (LogLine taken : all(PoolDecision.OwnershipTaken.class)) {
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/explain/ContextLines.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/explain/ContextLines.java
@@ -15,12 +15,12 @@
 import org.monsoonrelay.logic.events.ProcessDecision;
 
 /**
- * What lines say of owners, workers and dependencies, kept up to a bound, and which of it
- * bears on a job. Not thread-safe.
+ * Lines about owners, workers and dependencies, from which those that are relevant to a
+ * job are selected. At most {@link #MAX_LINES} are kept. Not thread-safe.
  */
 final class ContextLines {
 
-	/** Lines that are kept, the oldest give way. */
+	/** Lines that are kept at most; the oldest are discarded first. */
 	private static final int MAX_LINES = 20_000;
 
 	private static final List<String> EVENT_PREFIXES = List.of("\"Ownership", "\"Worker", "\"Dependency",
@@ -32,8 +32,8 @@
 		return EVENT_PREFIXES.stream().anyMatch(text::contains);
 	}
 
-	void add(EpochLine told) {
-		LogLine line = told.line();
+	void add(EpochLine entry) {
+		LogLine line = entry.line();
 		if (!EventCategories.isOwnershipEvent(line) && !EventCategories.isWorkerEvent(line)
 				&& !line.hasField("dependency")) {
 			return;
@@ -41,81 +41,82 @@
 		if (this.lines.size() == MAX_LINES) {
 			this.lines.remove();
 		}
-		this.lines.add(told);
+		this.lines.add(entry);
 	}
 
 	/**
-	 * What bears on a job.
-	 * @param own the job's lines in the order in which they were read
-	 * @return the lines
+	 * Select the lines that are relevant to a job.
+	 * @param jobLines the job's lines in the order in which they were read
+	 * @return the relevant lines
 	 */
-	List<EpochLine> relevantTo(List<EpochLine> own) {
-		List<EpochLine> bearing = new ArrayList<>(ownershipLines(own));
-		bearing.addAll(workerLines(own));
-		bearing.addAll(dependencyLines(own));
-		return bearing;
+	List<EpochLine> relevantTo(List<EpochLine> jobLines) {
+		List<EpochLine> relevant = new ArrayList<>(ownershipLines(jobLines));
+		relevant.addAll(workerLines(jobLines));
+		relevant.addAll(dependencyLines(jobLines));
+		return relevant;
 	}
 
-	private static boolean hasEnded(List<EpochLine> own) {
-		return own.stream().anyMatch((told) -> told.line().isEvent(JobDecision.JobEnded.class));
+	private static boolean hasEnded(List<EpochLine> jobLines) {
+		return jobLines.stream().anyMatch((entry) -> entry.line().isEvent(JobDecision.JobEnded.class));
 	}
 
-	// A job that ended under the owner that learnt it has seen no other.
-	private List<EpochLine> ownershipLines(List<EpochLine> own) {
-		if (own.stream().allMatch((told) -> told.line().isEvent(JobDecision.RequestRefused.class))) {
+	// A job that ended under the owner that loaded it first is not affected by later
+	// owners.
+	private List<EpochLine> ownershipLines(List<EpochLine> jobLines) {
+		if (jobLines.stream().allMatch((entry) -> entry.line().isEvent(JobDecision.RequestRefused.class))) {
 			return List.of();
 		}
-		LongSummaryStatistics epochs = own.stream()
+		LongSummaryStatistics epochs = jobLines.stream()
 			.mapToLong(EpochLine::epoch)
 			.filter((epoch) -> epoch != EpochLine.NO_EPOCH)
 			.summaryStatistics();
 		boolean isKnown = epochs.getCount() > 0;
-		long last = (hasEnded(own) && isKnown) ? epochs.getMax() : Long.MAX_VALUE;
-		Map<Long, Long> learnt = own.stream()
-			.filter((told) -> told.epoch() != EpochLine.NO_EPOCH)
-			.collect(Collectors.toMap(EpochLine::epoch, (told) -> told.line().number(), Math::min));
-		return this.lines.stream().filter((told) -> EventCategories.isOwnershipEvent(told.line())).filter((told) -> {
-			long epoch = told.line().value("epoch");
+		long last = (hasEnded(jobLines) && isKnown) ? epochs.getMax() : Long.MAX_VALUE;
+		Map<Long, Long> firstLineByEpoch = jobLines.stream()
+			.filter((entry) -> entry.epoch() != EpochLine.NO_EPOCH)
+			.collect(Collectors.toMap(EpochLine::epoch, (entry) -> entry.line().number(), Math::min));
+		return this.lines.stream().filter((entry) -> EventCategories.isOwnershipEvent(entry.line())).filter((entry) -> {
+			long epoch = entry.line().value("epoch");
 			boolean isFirst = isKnown && epoch == epochs.getMin();
 			return epoch <= last && (!isKnown || epoch > epochs.getMin()
-					|| (isFirst && told.line().number() > learnt.get(epoch) && epoch < last));
+					|| (isFirst && entry.line().number() > firstLineByEpoch.get(epoch) && epoch < last));
 		}).toList();
 	}
 
-	private List<EpochLine> workerLines(List<EpochLine> own) {
-		Map<String, String> open = new HashMap<>();
-		Set<String> doubtful = new HashSet<>();
-		for (EpochLine told : own) {
-			LogLine line = told.line();
+	private List<EpochLine> workerLines(List<EpochLine> jobLines) {
+		Map<String, String> workerByOpenRun = new HashMap<>();
+		Set<String> relevantWorkers = new HashSet<>();
+		for (EpochLine entry : jobLines) {
+			LogLine line = entry.line();
 			String run = line.text("task") + ' ' + line.text("attempt");
 			if (line.isEvent(JobDecision.TaskPlaced.class)) {
-				open.put(run, line.text("worker"));
+				workerByOpenRun.put(run, line.text("worker"));
 			}
 			else if (line.isEvent(JobDecision.TaskEnded.class)) {
-				open.remove(run);
+				workerByOpenRun.remove(run);
 			}
 			else if (line.isEvent(JobDecision.TaskLost.class) || line.isEvent(JobDecision.StartFailed.class)) {
-				doubtful.add(line.text("worker"));
+				relevantWorkers.add(line.text("worker"));
 			}
 		}
-		doubtful.addAll(open.values());
-		Map<String, LongSummaryStatistics> spans = own.stream()
-			.filter((told) -> !EventCategories.isIndependentOfOwner(told.line()))
-			.collect(Collectors.groupingBy((told) -> told.line().source(),
-					Collectors.summarizingLong((told) -> told.line().number())));
-		boolean isEnded = hasEnded(own);
-		return this.lines.stream().filter((told) -> {
-			LogLine line = told.line();
+		relevantWorkers.addAll(workerByOpenRun.values());
+		Map<String, LongSummaryStatistics> spans = jobLines.stream()
+			.filter((entry) -> !EventCategories.isIndependentOfOwner(entry.line()))
+			.collect(Collectors.groupingBy((entry) -> entry.line().source(),
+					Collectors.summarizingLong((entry) -> entry.line().number())));
+		boolean isEnded = hasEnded(jobLines);
+		return this.lines.stream().filter((entry) -> {
+			LogLine line = entry.line();
 			LongSummaryStatistics span = spans.get(line.source());
-			return EventCategories.isWorkerEvent(line) && doubtful.contains(line.text("worker")) && span != null
+			return EventCategories.isWorkerEvent(line) && relevantWorkers.contains(line.text("worker")) && span != null
 					&& line.number() > span.getMin() && (!isEnded || line.number() < span.getMax());
 		}).toList();
 	}
 
-	// What a process that answered a caller had lost by then.
-	private List<EpochLine> dependencyLines(List<EpochLine> own) {
-		Set<EpochLine> bearing = new HashSet<>();
-		for (EpochLine answer : own) {
+	// Dependencies that were unavailable to a process when it answered a caller.
+	private List<EpochLine> dependencyLines(List<EpochLine> jobLines) {
+		Set<EpochLine> relevant = new HashSet<>();
+		for (EpochLine answer : jobLines) {
 			LogLine line = answer.line();
 			boolean isAnswer = line.isEvent(JobDecision.SubmissionAnswered.class)
 					|| line.isEvent(JobDecision.CancellationAnswered.class);
@@ -123,18 +124,18 @@
 				continue;
 			}
 			Map<String, EpochLine> lost = new HashMap<>();
-			for (EpochLine told : this.lines) {
-				boolean isBefore = told.line().source().equals(line.source()) && told.line().number() < line.number();
-				if (isBefore && told.line().isEvent(ProcessDecision.DependencyLost.class)) {
-					lost.put(told.line().text("dependency"), told);
+			for (EpochLine entry : this.lines) {
+				boolean isBefore = entry.line().source().equals(line.source()) && entry.line().number() < line.number();
+				if (isBefore && entry.line().isEvent(ProcessDecision.DependencyLost.class)) {
+					lost.put(entry.line().text("dependency"), entry);
 				}
-				else if (isBefore && told.line().isEvent(ProcessDecision.DependencyBack.class)) {
-					lost.remove(told.line().text("dependency"));
+				else if (isBefore && entry.line().isEvent(ProcessDecision.DependencyBack.class)) {
+					lost.remove(entry.line().text("dependency"));
 				}
 			}
-			bearing.addAll(lost.values());
+			relevant.addAll(lost.values());
 		}
-		return List.copyOf(bearing);
+		return List.copyOf(relevant);
 	}
 
 }
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/explain/EpochInference.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/explain/EpochInference.java
@@ -6,9 +6,10 @@
 import java.util.Map;
 
 /**
- * Epochs and processes of owners' lines that do not tell them: those of an owner that
- * took the pool before the first line that was read, and those that have lost what names
- * their process. An epoch has one owner. Stateless and thread-safe.
+ * Infers the epoch and the source of owners' lines where they are missing: the epoch of
+ * an owner that acquired the pool before the first line that was read, and the source of
+ * lines whose prefix was truncated. The source follows from the epoch because an epoch
+ * has exactly one owner. Stateless and thread-safe.
  */
 final class EpochInference {
 
@@ -16,24 +17,26 @@
 	}
 
 	/**
-	 * Give such lines the epoch that their process names next, or that was told last.
+	 * Fill in missing epochs and sources. A line without an epoch gets the next epoch
+	 * that its process names; a line without a source gets the latest epoch and its
+	 * owner.
 	 * @param lines lines in the order in which they were read
-	 * @return the lines in that order
+	 * @return the lines in the same order
 	 */
 	static List<EpochLine> inferMissing(List<EpochLine> lines) {
 		Map<String, Long> next = new HashMap<>();
 		List<EpochLine> completed = new ArrayList<>(lines);
 		for (int i = lines.size() - 1; i >= 0; i--) {
-			EpochLine told = lines.get(i);
-			if (EventCategories.isIndependentOfOwner(told.line())) {
+			EpochLine entry = lines.get(i);
+			if (EventCategories.isIndependentOfOwner(entry.line())) {
 				continue;
 			}
-			if (told.epoch() == EpochLine.NO_EPOCH) {
+			if (entry.epoch() == EpochLine.NO_EPOCH) {
 				completed.set(i,
-						new EpochLine(told.line(), next.getOrDefault(told.line().source(), EpochLine.NO_EPOCH)));
+						new EpochLine(entry.line(), next.getOrDefault(entry.line().source(), EpochLine.NO_EPOCH)));
 			}
 			else {
-				next.put(told.line().source(), told.epoch());
+				next.put(entry.line().source(), entry.epoch());
 			}
 		}
 		return inferSources(completed);
@@ -41,26 +44,26 @@
 
 	private static List<EpochLine> inferSources(List<EpochLine> lines) {
 		Map<Long, String> owners = new HashMap<>();
-		for (EpochLine told : lines) {
-			if (told.epoch() != EpochLine.NO_EPOCH && !told.line().source().equals(LogLineParser.UNKNOWN_SOURCE)) {
-				owners.putIfAbsent(told.epoch(), told.line().source());
+		for (EpochLine entry : lines) {
+			if (entry.epoch() != EpochLine.NO_EPOCH && !entry.line().source().equals(LogLineParser.UNKNOWN_SOURCE)) {
+				owners.putIfAbsent(entry.epoch(), entry.line().source());
 			}
 		}
 		long last = owners.keySet().stream().min(Long::compare).orElse(EpochLine.NO_EPOCH);
-		List<EpochLine> named = new ArrayList<>();
-		for (EpochLine told : lines) {
-			boolean isNobodys = told.line().source().equals(LogLineParser.UNKNOWN_SOURCE)
-					&& !EventCategories.isIndependentOfOwner(told.line());
-			if (isNobodys && owners.containsKey(last)) {
-				LogLine line = told.line();
-				named.add(
+		List<EpochLine> completed = new ArrayList<>();
+		for (EpochLine entry : lines) {
+			boolean lacksSource = entry.line().source().equals(LogLineParser.UNKNOWN_SOURCE)
+					&& !EventCategories.isIndependentOfOwner(entry.line());
+			if (lacksSource && owners.containsKey(last)) {
+				LogLine line = entry.line();
+				completed.add(
 						new EpochLine(new LogLine(owners.get(last), line.number(), line.event(), line.fields()), last));
 				continue;
 			}
-			last = (told.epoch() == EpochLine.NO_EPOCH) ? last : told.epoch();
-			named.add(told);
+			last = (entry.epoch() == EpochLine.NO_EPOCH) ? last : entry.epoch();
+			completed.add(entry);
 		}
-		return named;
+		return completed;
 	}
 
 }
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/explain/EpochLine.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/explain/EpochLine.java
@@ -1,10 +1,11 @@
 package org.monsoonrelay.logic.explain;
 
 /**
- * A line with the owner's epoch under which it was written. Immutable.
+ * A log line with the owner's epoch in which it was written. Immutable.
  *
  * @param line the line
- * @param epoch the epoch, {@link #NO_EPOCH} if no owner wrote it or it is not known
+ * @param epoch the epoch, {@link #NO_EPOCH} if it was not written by an owner or the
+ * epoch is unknown
  */
 record EpochLine(LogLine line, long epoch) {
 
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/explain/EventCategories.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/explain/EventCategories.java
@@ -8,7 +8,8 @@
 import org.monsoonrelay.logic.events.ProcessDecision;
 
 /**
- * Which events are whose. Stateless and thread-safe.
+ * Categories of events: those that any process may write, and those about ownership or
+ * workers. Stateless and thread-safe.
  */
 final class EventCategories {
 
@@ -31,9 +32,9 @@
 	}
 
 	/**
-	 * Whether a line needs no owner to be written.
+	 * Whether a line can be written by a process that does not own the pool.
 	 * @param line the line
-	 * @return {@code true} if its process's epoch says nothing of it
+	 * @return {@code true} if the epoch of its process does not apply to it
 	 */
 	static boolean isIndependentOfOwner(LogLine line) {
 		return INDEPENDENT_OF_OWNER.contains(line.event());
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/explain/JobTimeline.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/explain/JobTimeline.java
@@ -10,16 +10,16 @@
 import org.monsoonrelay.logic.events.PoolDecision;
 
 /**
- * What the lines of any number of processes say of one job, task or request. Lines are
- * taken one at a time; kept are those that name the id and, up to a bound, those that say
- * what became of owners, workers and dependencies. Not thread-safe.
+ * Timeline of one job, task or request, reconstructed from the lines of any number of
+ * processes. Lines are added one at a time. Only the lines that name the id and the
+ * {@link ContextLines} are kept, both up to a bound. Not thread-safe.
  */
 public final class JobTimeline {
 
-	/** Lines of the id that are kept at most; a job of 2,000 tasks writes some 6,000. */
+	/** Lines kept for the id at most; a job of 2,000 tasks writes about 6,000. */
 	private static final int MAX_JOB_LINES = 20_000;
 
-	/** Parts of the name of a task. */
+	/** Number of parts in a task key. */
 	private static final int TASK_PARTS = 4;
 
 	private static final String OMITTED_LINES_EVENT = "\"LinesLeftOut\"";
@@ -45,7 +45,7 @@
 	private long omittedLines;
 
 	/**
-	 * Begin a story.
+	 * Create an empty timeline.
 	 * @param id id of a job, task or request
 	 */
 	public JobTimeline(String id) {
@@ -55,9 +55,9 @@
 	}
 
 	/**
-	 * Take in a line.
-	 * @param input name of what it was read from
-	 * @param text the line, with or without something before its JSON
+	 * Add a line. Lines of one input have to be added in their order.
+	 * @param input name of the input that the line was read from
+	 * @param text the line, with or without a prefix before its JSON
 	 */
 	public void addLine(String input, String text) {
 		this.readLines++;
@@ -88,8 +88,8 @@
 		}
 		if (concernsId(line)) {
 			if (this.jobLines.size() < MAX_JOB_LINES) {
-				boolean isOwners = !EventCategories.isIndependentOfOwner(line);
-				this.jobLines.add(new EpochLine(line, isOwners ? epoch(line) : EpochLine.NO_EPOCH));
+				boolean isOwnerLine = !EventCategories.isIndependentOfOwner(line);
+				this.jobLines.add(new EpochLine(line, isOwnerLine ? epoch(line) : EpochLine.NO_EPOCH));
 			}
 			else {
 				this.omittedLines++;
@@ -120,22 +120,22 @@
 		return !isOther && (step.isEmpty() || this.id.startsWith(this.job + '.' + step + '.'));
 	}
 
-	// The path of a request, or the key of a row.
+	// The path is that of a request, or the key of a row.
 	private boolean pathNamesId(String path) {
 		return path.equals(this.id) || path.endsWith('/' + this.id) || path.startsWith(this.id + '/');
 	}
 
 	/**
 	 * Whether any line names the id.
-	 * @return {@code false} if there is nothing to tell
+	 * @return {@code false} if the timeline is empty
 	 */
 	public boolean isFound() {
 		return !this.jobLines.isEmpty();
 	}
 
 	/**
-	 * The lines that tell the story, causes first.
-	 * @return the lines
+	 * The lines of the timeline.
+	 * @return the lines, causes first
 	 */
 	public List<LogLine> lines() {
 		return orderedLines().stream().map(EpochLine::line).toList();
@@ -149,32 +149,32 @@
 	}
 
 	/**
-	 * The story in a dozen lines, alike ones folded.
-	 * @return the lines
+	 * Format the timeline with similar lines combined, in about a dozen lines.
+	 * @return the formatted lines
 	 */
 	public List<String> formatCondensed() {
 		return TimelineFormatter.formatCondensed(orderedLines());
 	}
 
 	/**
-	 * The story with one line for each that was read.
-	 * @return the lines
+	 * Format the timeline with one line for each line that was read.
+	 * @return the formatted lines
 	 */
 	public List<String> formatAll() {
 		return TimelineFormatter.formatAll(orderedLines());
 	}
 
 	/**
-	 * What it came to, and why.
-	 * @return a few lines
+	 * Explain the outcome and its causes.
+	 * @return a few sentences
 	 */
 	public List<String> causes() {
 		return new CauseFinder(lines()).causes();
 	}
 
 	/**
-	 * What may be missing.
-	 * @return a few lines, none if nothing is known to be missing
+	 * Describe which data may be missing from the timeline.
+	 * @return a few sentences, none if nothing is known to be missing
 	 */
 	public List<String> missingData() {
 		List<String> gaps = new ArrayList<>();
@@ -188,8 +188,8 @@
 	}
 
 	/**
-	 * How many lines were taken.
-	 * @return the number
+	 * Number of lines that were added, including those that were not kept.
+	 * @return the count
 	 */
 	public long readCount() {
 		return this.readLines;
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/explain/LogLine.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/explain/LogLine.java
@@ -4,17 +4,17 @@
 import org.monsoonrelay.model.submission.TaskKey;
 
 /**
- * A decision as a process has written it. Immutable.
+ * A decision as written to the log by a process. Immutable.
  *
- * @param source the process that wrote it
- * @param number its place among all lines that were read; of one process, the order in
- * which it wrote
- * @param event the name of the event
- * @param fields its fields
+ * @param source the process that wrote the line
+ * @param number position of the line among all lines that were read; the lines of one
+ * process are numbered in the order in which it wrote them
+ * @param event name of the event
+ * @param fields fields of the event
  */
 public record LogLine(String source, long number, String event, JsonNode fields) {
 
-	/** Parts of the name of a task. */
+	/** Number of parts in a task key. */
 	private static final int TASK_PARTS = 4;
 
 	String text(String field) {
@@ -34,8 +34,8 @@
 	}
 
 	/**
-	 * The step that the line is about.
-	 * @return occurrence and step, empty if it names none
+	 * The step that the line refers to.
+	 * @return occurrence and step, empty if the line names no step
 	 */
 	String step() {
 		String task = text("task");
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/explain/LogLineParser.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/explain/LogLineParser.java
@@ -12,17 +12,19 @@
 import com.fasterxml.jackson.databind.ObjectReader;
 
 /**
- * Reads one line of output. What stands before the JSON, such as a collector's time and
- * host name, names the process; in an input without that, the process is the one that
- * last said it has started. A line that has lost its beginning alone is nobody's. Not
- * thread-safe: lines of one input are to be read in their order.
+ * Parses the lines of one input. The names in the prefix before the JSON, such as the
+ * host name that a log collector adds, identify the process. In an input without
+ * prefixes, the process is the one that last logged its start. A line that lacks its
+ * prefix in an input with prefixes was truncated at its beginning, and its source is
+ * {@link #UNKNOWN_SOURCE}. Not thread-safe: the lines of an input have to be parsed in
+ * their order.
  */
 final class LogLineParser {
 
-	/** Process of a line that has lost what names it. */
+	/** Source of a line whose prefix was truncated. */
 	static final String UNKNOWN_SOURCE = "?";
 
-	/** Braces in what stands before the JSON that are passed over, at most. */
+	/** Opening braces that are tried as the beginning of the JSON, at most. */
 	private static final int MAX_BRACES = 4;
 
 	private static final String EVENT = "event";
@@ -43,7 +45,7 @@
 	private int prefixNameCount;
 
 	/**
-	 * Create a reader.
+	 * Create a parser.
 	 * @param input name of the input
 	 */
 	LogLineParser(String input) {
@@ -51,10 +53,10 @@
 	}
 
 	/**
-	 * Read a line.
+	 * Parse a line.
 	 * @param text the line
-	 * @param number its place among all lines
-	 * @return the decision, empty if there is none or it is cut
+	 * @param number position of the line among all lines
+	 * @return the decision, empty if the line has none or is truncated
 	 */
 	Optional<LogLine> parse(String text, long number) {
 		int brace = text.indexOf("{\"");
@@ -74,7 +76,7 @@
 			return this.reader.readTree(json);
 		}
 		catch (IOException ex) {
-			// The caller counts what is cut.
+			// Truncated JSON: the caller counts such lines.
 			return null;
 		}
 	}
@@ -83,17 +85,17 @@
 		if ("ProcessStarted".equals(node.path(EVENT).asText())) {
 			this.lastStartedHost = node.path("host").asText("");
 		}
-		List<String> words = new ArrayList<>();
+		List<String> names = new ArrayList<>();
 		for (String word : prefix.trim().split("\\s+")) {
 			if (canBeName(word)) {
-				words.add(word.endsWith(":") ? word.substring(0, word.length() - 1) : word);
+				names.add(word.endsWith(":") ? word.substring(0, word.length() - 1) : word);
 			}
 		}
-		if (!words.isEmpty()) {
-			// More of them are the rest of a line that was cut.
-			boolean isWhole = this.prefixNameCount == 0 || words.size() <= this.prefixNameCount;
-			this.prefixNameCount = isWhole ? words.size() : this.prefixNameCount;
-			return String.join(" ", words.subList(words.size() - this.prefixNameCount, words.size()));
+		if (!names.isEmpty()) {
+			// Additional names are the remainder of a truncated line before this one.
+			boolean isComplete = this.prefixNameCount == 0 || names.size() <= this.prefixNameCount;
+			this.prefixNameCount = isComplete ? names.size() : this.prefixNameCount;
+			return String.join(" ", names.subList(names.size() - this.prefixNameCount, names.size()));
 		}
 		if (this.prefixNameCount > 0) {
 			return UNKNOWN_SOURCE;
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/explain/PendingStepReport.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/explain/PendingStepReport.java
@@ -10,7 +10,7 @@
 import org.monsoonrelay.logic.events.JobDecision;
 
 /**
- * What the last step waits for that the lines of an open job name. Stateless and
+ * Describes what the last known step of an unfinished job waits for. Stateless and
  * thread-safe.
  */
 final class PendingStepReport {
@@ -18,18 +18,17 @@
 	private PendingStepReport() {
 	}
 
-	// A step whose tasks are named was placed, whether the lines of the starts are there
-	// or
-	// not.
+	// A step whose tasks are named was placed, even if the lines of the starts are
+	// missing.
 	private static NavigableSet<String> placedSteps(List<LogLine> lines) {
 		return steps(lines, (line) -> line.hasField("task"));
 	}
 
 	private static NavigableSet<String> unplacedQueriedSteps(List<LogLine> lines) {
-		NavigableSet<String> asked = steps(lines, (line) -> line.isEvent(JobDecision.EligibilityAnswered.class)
+		NavigableSet<String> queried = steps(lines, (line) -> line.isEvent(JobDecision.EligibilityAnswered.class)
 				|| line.isEvent(JobDecision.EligibilityFailed.class));
-		asked.removeAll(placedSteps(lines));
-		return asked;
+		queried.removeAll(placedSteps(lines));
+		return queried;
 	}
 
 	private static NavigableSet<String> steps(List<LogLine> lines, Predicate<LogLine> wanted) {
@@ -37,9 +36,9 @@
 	}
 
 	/**
-	 * Whether there is a step that was asked about and not placed.
+	 * Whether an eligibility request was sent for a step that was not placed.
 	 * @param lines the lines of a job
-	 * @return {@code true} if there is one
+	 * @return {@code true} if there is such a step
 	 */
 	static boolean hasUnplacedQueriedStep(List<LogLine> lines) {
 		return !unplacedQueriedSteps(lines).isEmpty();
@@ -47,12 +46,12 @@
 
 	static String text(List<LogLine> lines) {
 		NavigableSet<String> placed = placedSteps(lines);
-		NavigableSet<String> asked = unplacedQueriedSteps(lines);
-		if (asked.isEmpty()) {
+		NavigableSet<String> queried = unplacedQueriedSteps(lines);
+		if (queried.isEmpty()) {
 			return (placed.isEmpty() ? "no step was placed" : "no step after " + placed.last() + " was placed")
 					+ ", and no line tells that it was asked who may run the next one";
 		}
-		String step = asked.last();
+		String step = queried.last();
 		List<LogLine> answers = linesOfStep(lines, step, JobDecision.EligibilityAnswered.class);
 		List<LogLine> failed = linesOfStep(lines, step, JobDecision.EligibilityFailed.class);
 		if (answers.isEmpty()) {
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/explain/TimeBreakdown.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/explain/TimeBreakdown.java
@@ -9,8 +9,8 @@
 import org.monsoonrelay.logic.events.JobDecision;
 
 /**
- * Where the time of a job that has ended went, by the spans that its lines tell. Each
- * span was measured by one process; none is a difference between two hosts' times of day.
+ * Breaks the total time of a job that has ended down into phases. The duration of each
+ * phase was measured by one process; none is computed from the wall clocks of two hosts.
  */
 final class TimeBreakdown {
 
@@ -19,9 +19,9 @@
 	private final LogLine end;
 
 	/**
-	 * Create it.
+	 * Create the breakdown of a job.
 	 * @param lines the lines of the job, causes first
-	 * @param end the end of the job
+	 * @param end the line that reports the end of the job
 	 */
 	TimeBreakdown(List<LogLine> lines, LogLine end) {
 		this.lines = lines;
@@ -32,22 +32,22 @@
 		long late = this.end.value("lateMillis");
 		String state = this.end.text("state") + " after " + this.end.value("ageMillis") + " ms, "
 				+ ((late > 0) ? late + " ms late" : -late + " ms in time");
-		Map<String, Long> spans = durations();
-		if (spans.isEmpty()) {
+		Map<String, Long> durations = durations();
+		if (durations.isEmpty()) {
 			return state;
 		}
-		String most = spans.entrySet().stream().max(Map.Entry.comparingByValue()).orElseThrow().getKey();
+		String most = durations.entrySet().stream().max(Map.Entry.comparingByValue()).orElseThrow().getKey();
 		return state + ": "
-				+ spans.entrySet()
+				+ durations.entrySet()
 					.stream()
-					.map((span) -> span.getValue() + " ms " + span.getKey())
+					.map((phase) -> phase.getValue() + " ms " + phase.getKey())
 					.collect(Collectors.joining(", "))
 				+ "; the most of it " + most + longestRunAndRepeatedStarts();
 	}
 
 	private Map<String, Long> durations() {
-		Map<String, Long> spans = new LinkedHashMap<>();
-		long learnt = all(JobDecision.JobLearnt.class).stream()
+		Map<String, Long> durations = new LinkedHashMap<>();
+		long loaded = all(JobDecision.JobLearnt.class).stream()
 			.mapToLong((line) -> line.value("ageMillis"))
 			.findFirst()
 			.orElse(-1);
@@ -55,22 +55,22 @@
 			.min(Comparator.comparingLong((line) -> line.value("waitedMillis")))
 			.orElse(null);
 		if (placed == null) {
-			return spans;
+			return durations;
 		}
 		long first = placed.value("waitedMillis");
-		long wait = Math.max(0, first - Math.max(0, learnt));
+		long wait = Math.max(0, first - Math.max(0, loaded));
 		long queued = Math.min(wait, sumOfEligibilityField(placed, "queuedMillis"));
-		long asked = Math.min(wait - queued, sumOfEligibilityField(placed, "tookMillis"));
-		if (learnt >= 0) {
-			spans.put("until an owner learnt of it", learnt);
+		long inCalls = Math.min(wait - queued, sumOfEligibilityField(placed, "tookMillis"));
+		if (loaded >= 0) {
+			durations.put("until an owner learnt of it", loaded);
 		}
 		if (queued > 0) {
-			spans.put("until a host had time to ask who may run its first step", queued);
+			durations.put("until a host had time to ask who may run its first step", queued);
 		}
-		spans.put("in calls for who may run its first step", asked);
-		spans.put("waiting for room before its first start", wait - queued - asked);
-		spans.put("from its first start to its end", this.end.value("ageMillis") - first);
-		return spans;
+		durations.put("in calls for who may run its first step", inCalls);
+		durations.put("waiting for room before its first start", wait - queued - inCalls);
+		durations.put("from its first start to its end", this.end.value("ageMillis") - first);
+		return durations;
 	}
 
 	private long sumOfEligibilityField(LogLine placed, String field) {
@@ -85,14 +85,14 @@
 			.mapToLong((line) -> line.value("ranMillis"))
 			.max()
 			.orElse(-1);
-		long again = all(JobDecision.TaskPlaced.class).stream().map((line) -> line.text("task")).distinct().count();
+		long tasks = all(JobDecision.TaskPlaced.class).stream().map((line) -> line.text("task")).distinct().count();
 		long starts = all(JobDecision.TaskPlaced.class).size();
 		StringBuilder text = new StringBuilder();
 		if (longest >= 0) {
 			text.append("; its longest run took ").append(longest).append(" ms");
 		}
-		if (starts > again) {
-			text.append("; ").append(starts - again).append(" of ").append(starts).append(" starts were repeats (");
+		if (starts > tasks) {
+			text.append("; ").append(starts - tasks).append(" of ").append(starts).append(" starts were repeats (");
 			Map<String, Long> ends = all(JobDecision.TaskEnded.class).stream()
 				.filter((line) -> !"DONE".equals(line.text("end")))
 				.collect(Collectors.groupingBy((line) -> line.text("end"), LinkedHashMap::new, Collectors.counting()));
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/explain/package-info.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/explain/package-info.java
@@ -1,4 +1,5 @@
 /**
- * Tells the story of one job or request from the lines that processes have written.
+ * Reconstructs the timeline of one job, task or request from the log lines of any number
+ * of processes, and explains its outcome.
  */
 package org.monsoonrelay.logic.explain;
--- a/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/explain/package-info.java
+++ b/monsoonrelay-logic/src/test/java/org/monsoonrelay/logic/explain/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Tests of stories told from lines.
+ * Tests of the reconstruction of timelines from log lines.
  */
 package org.monsoonrelay.logic.explain;
