--- a/monsoonrelay-model/src/main/java/org/monsoonrelay/model/job/Job.java
+++ b/monsoonrelay-model/src/main/java/org/monsoonrelay/model/job/Job.java
@@ -197,9 +197,8 @@
 	}
 
 	/**
-	 * Record that the lease of the attempt's worker expired, so that its state is
-	 * unknown. A repeatable task waits to be placed again; a run-once task becomes in
-	 * doubt.
+	 * Record that the lease of the attempt's worker expired. A repeatable task waits to
+	 * be placed again; a run-once task becomes in doubt, as its state is unknown.
 	 * @param attempt the attempt
 	 * @return {@code true} if the task is waiting again
 	 */
@@ -301,7 +300,7 @@
 	}
 
 	/**
-	 * Record the time at which the job finished, once all tasks have finished.
+	 * Record the time of the finish once all tasks have finished.
 	 * @param now the current time
 	 */
 	public void recordFinish(Instant now) {
@@ -335,9 +334,8 @@
 	}
 
 	/**
-	 * Open only attempts with higher numbers than those of the object that represented
-	 * the job before, so that no two attempts share a number.
-	 * @param previous the previous object
+	 * Open only attempts with higher numbers than the previous object of the job did.
+	 * @param previous the previous object, with which no attempt number may be shared
 	 */
 	public void continueAttemptNumbersOf(Job previous) {
 		long last = previous.tasks.allTasks().mapToLong(Task::attempt).max().orElse(0);
