--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/control/ControlLog.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/control/ControlLog.java
@@ -175,8 +175,8 @@
 			return accepted(head);
 		}
 		if (result != null) {
-			return (attempts.count() > 1) ? attempt(edit, attempts.next()) : CompletableFuture
-				.completedFuture(failureOutcome(attempts, "other edits were accepted first on every attempt"));
+			return (attempts.count() > 1) ? attempt(edit, attempts.next())
+					: CompletableFuture.completedFuture(failureOutcome(attempts, "other edits kept coming first"));
 		}
 		boolean knownNotApplied = cause(failure) instanceof PlatformException platform
 				&& !platform.mayHaveTakenEffect();
@@ -214,7 +214,7 @@
 
 	private static EditOutcome failureOutcome(RemainingAttempts attempts, String reason) {
 		return attempts.outcomeUnknown()
-				? new EditOutcome.Unsettled("an answer was lost and the outcome cannot be read back: " + reason)
+				? new EditOutcome.Unsettled("an answer was lost and the table cannot be read back: " + reason)
 				: new EditOutcome.Unavailable("nothing was changed: " + reason);
 	}
 
--- a/monsoonrelay-scheduler/src/main/java/org/monsoonrelay/scheduler/pool/PeerEligibilityClient.java
+++ b/monsoonrelay-scheduler/src/main/java/org/monsoonrelay/scheduler/pool/PeerEligibilityClient.java
@@ -49,7 +49,7 @@
 		}
 		Optional<HostAddress> address = this.addressOfHost.apply(host);
 		if (address.isEmpty()) {
-			return CompletableFuture.failedFuture(new PeerException("no address is known for host " + host, null));
+			return CompletableFuture.failedFuture(new PeerException("no address of " + host, null));
 		}
 		Envelope.Builder request = Envelope.newBuilder()
 			.setEligibilityRequest(EligibilityRequest.newBuilder().setStep(step.toString()).addAllWorkers(workers));
