--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/idempotency/IdempotentRequestRouter.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/idempotency/IdempotentRequestRouter.java
@@ -81,8 +81,7 @@
 		RequestKey requestKey = RequestKey.of(key, request);
 		CompletableFuture<Optional<RequestOutcome>> reservation = new CompletableFuture<>();
 		reserve(new ReservationAttempt(requestKey, request, MAXIMUM_ATTEMPTS, false))
-			.exceptionally((failure) -> Optional
-				.of(new RequestOutcome.Unknown("the idempotency record cannot be read from the table")))
+			.exceptionally((failure) -> Optional.of(new RequestOutcome.Unknown("the table's row cannot be read")))
 			.thenAccept((earlier) -> {
 				boolean beforeDeadline = reservation.complete(earlier);
 				if (!beforeDeadline && earlier.isEmpty()) {
@@ -143,10 +142,10 @@
 			return Optional.of(new RequestOutcome.NotRun(NotRunReason.KEY_REUSED, Duration.ZERO));
 		}
 		return Optional.of(switch (found.state()) {
-			case OPEN -> new RequestOutcome.Unknown("an earlier request with this key has no known response");
+			case OPEN -> new RequestOutcome.Unknown("an earlier request with this key has no known answer");
 			case ANSWERED -> found.answer().toOutcome();
 			case ANSWER_NOT_KEPT -> new RequestOutcome.Unknown(
-					"an earlier request with this key ran, but its response was too large to be stored");
+					"an earlier request with this key ran, and its answer was too large to be kept");
 		});
 	}
 
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/routing/ServiceRouter.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/routing/ServiceRouter.java
@@ -198,8 +198,7 @@
 
 	private void completeUnanswered(PendingRequest pending, NotRunReason reason) {
 		if (pending.mayHaveRun()) {
-			pending.outcome()
-				.complete(new RequestOutcome.Unknown("an attempt was sent but no complete response was received"));
+			pending.outcome().complete(new RequestOutcome.Unknown("an attempt was sent and brought no whole answer"));
 			return;
 		}
 		pending.outcome().complete(new RequestOutcome.NotRun(reason, retryAfter()));
--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/submission/CallerWrite.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/submission/CallerWrite.java
@@ -16,8 +16,9 @@
  * An attempt whose outcome is unknown is retried: the write is conditional, so a retry
  * determines whether an earlier attempt took effect. Invariants: the outcome is completed
  * once, and no attempt starts afterwards; the outcome is {@code NOT_ACCEPTED} only if
- * every attempt is known to have had no effect; if no path to the table is available, the
- * write completes at once. Thread-safe.
+ * every attempt is known to have had no effect, and is then reported at once if no path
+ * to the table is available, without waiting for the caller's deadline. An unknown
+ * outcome is also reported at once in that case. Thread-safe.
  */
 final class CallerWrite {
 
