--- a/monsoonrelay-gateway/src/main/java/org/monsoonrelay/gateway/OutcomeProblems.java
+++ b/monsoonrelay-gateway/src/main/java/org/monsoonrelay/gateway/OutcomeProblems.java
@@ -20,14 +20,14 @@
 			case INVALID_REQUEST -> notRun(StatusCode.BAD_REQUEST_CODE, "The request is malformed.");
 			case KEY_REUSED ->
 				notRun(StatusCode.UNPROCESSABLE_ENTITY_CODE, "The idempotency key belongs to another request.");
-			case DEADLINE -> notRun(StatusCode.SERVICE_UNAVAILABLE_CODE, "The deadline passed before a slot was free.");
+			case DEADLINE -> notRun(StatusCode.SERVICE_UNAVAILABLE_CODE, "The deadline came before a free slot.");
 			case OVERLOAD -> notRun(StatusCode.SERVICE_UNAVAILABLE_CODE,
-					"The gateway is overloaded: too many requests are in flight or waiting.");
+					"All slots are taken, and those that wait already come first.");
 			case NO_BACKEND_SERVER ->
-				notRun(StatusCode.SERVICE_UNAVAILABLE_CODE, "No backend server accepted the request.");
+				notRun(StatusCode.SERVICE_UNAVAILABLE_CODE, "No backend server took the request.");
 			case PLATFORM_UNAVAILABLE -> notRun(StatusCode.SERVICE_UNAVAILABLE_CODE,
-					"The platform cannot be reached, and this operation is not repeatable.");
-			case STOPPING -> notRun(StatusCode.SERVICE_UNAVAILABLE_CODE, "This gateway is stopping.");
+					"The platform cannot be reached, and this operation may not be repeated.");
+			case STOPPING -> notRun(StatusCode.SERVICE_UNAVAILABLE_CODE, "This entry host is stopping.");
 		};
 	}
 
