--- a/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/idempotency/IdempotentRequestRouter.java
+++ b/monsoonrelay-logic/src/main/java/org/monsoonrelay/logic/idempotency/IdempotentRequestRouter.java
@@ -219,8 +219,8 @@
 
 	private CompletableFuture<Void> apply(RowUpdate rowUpdate, int attemptsLeft) {
 		if (attemptsLeft == 0) {
-			return CompletableFuture.failedFuture(new PlatformException(
-					"update conflicted with concurrent writes on each attempt: " + rowUpdate.row(), false, null));
+			return CompletableFuture
+				.failedFuture(new PlatformException("other writes kept coming first: " + rowUpdate.row(), false, null));
 		}
 		// Writes the row even if it does not change: the new row version makes a delayed
 		// reservation write conflict.
